--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -59,7 +59,7 @@
 
 /// The end of a backend server while it ran a request.
 #[derive(Clone, Debug)]
-pub struct End<'a> {
+pub struct Crash<'a> {
     /// The start of the backend server that ended; no other start has the same text.
     pub start: String,
     /// Whether the request was on trial there.
@@ -197,7 +197,7 @@
     }
 
     /// A backend server ended while it ran the request. Returns whether that was not known.
-    pub fn note(&mut self, digest: Digest, end: End<'_>) -> bool {
+    pub fn note(&mut self, digest: Digest, end: Crash<'_>) -> bool {
         let fresh = Record {
             since_ms: end.at_ms,
             workspace: end.workspace.into(),
--- a/crates/drumusher-log/tests/log/quarantine.rs
+++ b/crates/drumusher-log/tests/log/quarantine.rs
@@ -1,10 +1,10 @@
 //! What is known of requests that end backend servers.
 
-use drumusher_log::quarantine::{Digest, End, MOST, Record, Table, Verdict};
+use drumusher_log::quarantine::{Crash, Digest, MOST, Record, Table, Verdict};
 use rstest::rstest;
 
-fn end(start: &str, alone: bool, at_ms: u64) -> End<'static> {
-    End { start: start.into(), alone, at_ms, workspace: "w", route: "r" }
+fn end(start: &str, alone: bool, at_ms: u64) -> Crash<'static> {
+    Crash { start: start.into(), alone, at_ms, workspace: "w", route: "r" }
 }
 
 /// A table in which a request was at ends of these starts, on trial or not.
@@ -72,10 +72,10 @@
 #[test]
 fn a_flood_drives_out_nothing_that_matters() {
     let mut table = table(Digest(1), &[("a", false), ("b", false), ("c", true), ("d", true)]);
-    let other = End { workspace: "other", ..end("a", false, 1) };
+    let other = Crash { workspace: "other", ..end("a", false, 1) };
     table.note(Digest(2), other);
     for number in 0..20_000 {
-        let end = End { workspace: "flood", ..end("a", false, 2_000 + number as u64) };
+        let end = Crash { workspace: "flood", ..end("a", false, 2_000 + number as u64) };
         table.note(Digest(100 + number), end);
     }
     assert_eq!(table.len(), MOST);
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -1,6 +1,6 @@
 //! Requests that end backend servers: what entries tell of ends, who is tried, and who is held back.
 
-use drumusher_log::quarantine::{Digest, End, Verdict};
+use drumusher_log::quarantine::{Crash, Digest, Verdict};
 use drumusher_schedule::{
     ask::{Entry, Id, Outcome},
     order::Refusal,
@@ -161,8 +161,8 @@
 }
 
 /// What an entry tells as the end of a start of a backend server.
-fn end(crash: &peer::Crash, alone: bool) -> End<'_> {
-    End {
+fn end(crash: &peer::Crash, alone: bool) -> Crash<'_> {
+    Crash {
         start: format!("{}@{}", crash.server, crash.born.unwrap_or(0)),
         alone,
         at_ms: clock::steady_unix_ms(),
