--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -197,7 +197,7 @@
     }
 
     /// A backend server ended while it ran the request. Returns whether that was not known.
-    pub fn note(&mut self, digest: Digest, end: Crash<'_>) -> bool {
+    pub fn record_crash(&mut self, digest: Digest, end: Crash<'_>) -> bool {
         let fresh = Record {
             since_ms: end.at_ms,
             workspace: end.workspace.into(),
--- a/crates/drumusher-log/tests/log/quarantine.rs
+++ b/crates/drumusher-log/tests/log/quarantine.rs
@@ -11,7 +11,7 @@
 fn table(digest: Digest, ends: &[(&str, bool)]) -> Table {
     let mut table = Table::new();
     for (start, alone) in ends {
-        table.note(digest, end(start, *alone, 1_000));
+        table.record_crash(digest, end(start, *alone, 1_000));
     }
     table
 }
@@ -73,10 +73,10 @@
 fn a_flood_drives_out_nothing_that_matters() {
     let mut table = table(Digest(1), &[("a", false), ("b", false), ("c", true), ("d", true)]);
     let other = Crash { workspace: "other", ..end("a", false, 1) };
-    table.note(Digest(2), other);
+    table.record_crash(Digest(2), other);
     for number in 0..20_000 {
         let end = Crash { workspace: "flood", ..end("a", false, 2_000 + number as u64) };
-        table.note(Digest(100 + number), end);
+        table.record_crash(Digest(100 + number), end);
     }
     assert_eq!(table.len(), MOST);
     assert_eq!(table.verdict(Digest(1)), Verdict::Held);
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -119,7 +119,7 @@
         let host = Pool::parse(&crash.pool).and_then(|pool| self.hosts.get(&pool));
         let known = host.and_then(|host| host.trials.was_alone(id));
         let alone = known.unwrap_or(crash.alone == Some(true));
-        if self.shared.quarantine().note(digest, end(crash, alone)) {
+        if self.shared.quarantine().record_crash(digest, end(crash, alone)) {
             self.shared.telemetry.count("drumusher.quarantine.ends", &[]);
             self.log_suspect(digest, crash, alone);
             self.shared.note_held();
