--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -177,7 +177,7 @@
     }
 
     /// How many are held back.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.records.values().filter(|record| record.verdict() == Verdict::Held).count()
     }
 
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -255,7 +255,7 @@
 
     /// Notes how many requests are held back, and says so if that changed.
     pub fn note_held(&self) {
-        let held = self.quarantine().held();
+        let held = self.quarantine().held_count();
         if self.held.swap(held, Ordering::AcqRel) != held {
             log::warn!(held = held; "requests are held back, since backend servers ended each time they ran");
             self.telemetry.gauge("drumusher.quarantine.held", held as u64);
