--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -36,7 +36,7 @@
 
 impl Digest {
     /// As operators see it, and as the key of its record.
-    pub fn text(self) -> String {
+    pub fn to_hex(self) -> String {
         format!("{:032x}", self.0)
     }
 
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -188,7 +188,7 @@
     let rows = table.iter().map(|(digest, record)| {
         let on_trial = record.ends.iter().filter(|(_, alone)| **alone);
         row(json!({
-            "request": digest.text(),
+            "request": digest.to_hex(),
             "workspace": record.workspace,
             "route": record.route,
             "verdict": record.verdict().word(),
--- a/crates/drumusher/src/process/catalog/quarantine.rs
+++ b/crates/drumusher/src/process/catalog/quarantine.rs
@@ -86,7 +86,7 @@
         let table = self.shared.quarantine();
         let record = |digest: &Digest| {
             let value = table.get(*digest).map(serde_json::to_string).transpose()?;
-            serde_json::Result::Ok(Record { key: digest.text(), value })
+            serde_json::Result::Ok(Record { key: digest.to_hex(), value })
         };
         let records = digests.iter().map(record);
         records
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -137,7 +137,7 @@
             Verdict::Held => "held back",
         };
         log::warn!(
-            digest = digest.text().as_str(), workspace = crash.workspace.as_str(),
+            digest = digest.to_hex().as_str(), workspace = crash.workspace.as_str(),
             route = crash.route.as_str(), server = crash.server.as_str(), alone = alone,
             ends = record.ends.len();
             "a request was there when a backend server ended, again: {what}"
@@ -148,7 +148,7 @@
         let told = self.shared.platform.try_send(platform::Input::Quarantine(vec![digest]));
         if told.is_err() {
             self.shared.telemetry.count("drumusher.ring.full", &[("ring", "platform")]);
-            log::warn!(digest = digest.text().as_str(); "too busy to write what is known of a request");
+            log::warn!(digest = digest.to_hex().as_str(); "too busy to write what is known of a request");
         }
     }
 }
