--- a/crates/drumusher-log/src/claim.rs
+++ b/crates/drumusher-log/src/claim.rs
@@ -76,7 +76,7 @@
 
 /// How a key stands.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum Status {
     /// Claimed, and not known to have ended.
     Claimed,
     /// It ran.
@@ -95,7 +95,7 @@
     /// When the platform took the claim, in milliseconds since 1970.
     pub time_ms: u64,
     /// How it stands.
-    pub standing: Standing,
+    pub status: Status,
 }
 
 /// All claims within the retention of the log.
@@ -168,8 +168,8 @@
         if self.claims.contains_key(&key) {
             return;
         }
-        let standing = Standing::Claimed;
-        let claim = Claim { attempt, instance: instance.into(), request, time_ms, standing };
+        let status = Status::Claimed;
+        let claim = Claim { attempt, instance: instance.into(), request, time_ms, status };
         self.claims.insert(key, claim);
         self.by_age.push_back((time_ms, key, attempt));
     }
@@ -178,7 +178,7 @@
         let releasable = self
             .claims
             .get(&key)
-            .is_some_and(|claim| claim.attempt == attempt && claim.standing == Standing::Claimed);
+            .is_some_and(|claim| claim.attempt == attempt && claim.status == Status::Claimed);
         if releasable {
             self.claims.remove(&key);
         }
@@ -188,8 +188,8 @@
         let Some(claim) = self.claims.get_mut(&key) else {
             return;
         };
-        if claim.attempt == attempt && claim.standing == Standing::Claimed {
-            claim.standing = Standing::Done(answer.clone());
+        if claim.attempt == attempt && claim.status == Status::Claimed {
+            claim.status = Status::Done(answer.clone());
         }
     }
 }
--- a/crates/drumusher-log/tests/log/claim.rs
+++ b/crates/drumusher-log/tests/log/claim.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use drumusher_log::claim::{Answer, Attempt, Index, Key, Record, Standing};
+use drumusher_log::claim::{Answer, Attempt, Index, Key, Record, Status};
 use proptest::prelude::*;
 
 fn body(record: &Record) -> Vec<u8> {
@@ -51,7 +51,7 @@
     let index = fold(&[claim(1, 10), done(1, 10), release(1, 10), claim(1, 11)]);
     let claim = index.get(Key(1)).expect("the claim stays");
     assert_eq!(claim.attempt, Attempt(10));
-    assert!(matches!(claim.standing, Standing::Done(_)));
+    assert!(matches!(claim.status, Status::Done(_)));
 }
 
 #[test]
--- a/crates/drumusher/src/process/platform/claims.rs
+++ b/crates/drumusher/src/process/platform/claims.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use drumusher_log::claim::{Answer, Attempt, Claim, Index, Key, Record, Standing};
+use drumusher_log::claim::{Answer, Attempt, Claim, Index, Key, Record, Status};
 use drumusher_platform::{
     Error,
     log::{Log, Page, Service},
@@ -75,7 +75,7 @@
         if let Some((attempt, answer)) = self.ended.get(&key)
             && claim.attempt == *attempt
         {
-            claim.standing = Standing::Done(answer.clone());
+            claim.status = Status::Done(answer.clone());
         }
         Some(claim)
     }
--- a/crates/drumusher/src/request/claim.rs
+++ b/crates/drumusher/src/request/claim.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use base64::{Engine, engine::general_purpose::STANDARD};
-use drumusher_log::claim::{self, Answer, Attempt, Key, Standing};
+use drumusher_log::claim::{self, Answer, Attempt, Key, Status};
 use ntex::{
     http::StatusCode,
     time::{Millis, timeout},
@@ -96,13 +96,13 @@
         let message = "the idempotency key was used for another request";
         return Err(Error::new(Kind::KeyReused, message));
     }
-    match &claim.standing {
-        Standing::Done(answer) => replay(answer),
-        Standing::Claimed if alive(shared, &claim.instance) => {
+    match &claim.status {
+        Status::Done(answer) => replay(answer),
+        Status::Claimed if alive(shared, &claim.instance) => {
             let message = "a request with this idempotency key is running";
             Err(Error::new(Kind::Running, message).with_retry_after(AGAIN_MS))
         }
-        Standing::Claimed => {
+        Status::Claimed => {
             let message = "a request with this idempotency key began; how it ended is not known";
             Err(Error::new(Kind::OutcomeUnknown, message))
         }
