--- a/crates/drumusher-log/src/boot.rs
+++ b/crates/drumusher-log/src/boot.rs
@@ -4,7 +4,7 @@
 
 /// A record as the platform gave it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct RawRecord {
     /// Its offset.
     pub offset: u64,
     /// When the platform took it, in milliseconds since 1970.
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Boot {
     first: u64,
-    records: Vec<Kept>,
+    records: Vec<RawRecord>,
     base: Option<State>,
 }
 
@@ -38,7 +38,7 @@
     }
 
     /// Takes the next record in offset order.
-    pub fn push(&mut self, kept: Kept) {
+    pub fn push(&mut self, kept: RawRecord) {
         let snapshot = match serde_json::from_slice(&kept.body) {
             Ok(Record::Snapshot { state }) => Some(*state),
             _ => None,
--- a/crates/drumusher-log/tests/log/boot.rs
+++ b/crates/drumusher-log/tests/log/boot.rs
@@ -1,19 +1,19 @@
 //! Finding the state to begin from.
 
 use drumusher_log::{
-    boot::{Boot, Kept},
+    boot::{Boot, RawRecord},
     config::{Record, State, Verb, apply},
 };
 use proptest::prelude::*;
 
 use crate::support::{class, command};
 
-fn kept(offset: u64, body: Vec<u8>) -> Kept {
-    Kept { offset, time_ms: 0, body }
+fn kept(offset: u64, body: Vec<u8>) -> RawRecord {
+    RawRecord { offset, time_ms: 0, body }
 }
 
 /// A log of `count` commands with a snapshot, taken at `taken`, at offset `at`.
-fn log(count: u64, taken: u64, at: u64) -> Vec<Kept> {
+fn log(count: u64, taken: u64, at: u64) -> Vec<RawRecord> {
     let mut state = State::new();
     let mut snapshot = State::new();
     let mut records = Vec::new();
@@ -34,7 +34,7 @@
     records
 }
 
-fn straight(records: &[Kept]) -> State {
+fn straight(records: &[RawRecord]) -> State {
     let mut state = State::new();
     for record in records {
         apply(&mut state, record.offset, record.time_ms, &record.body);
@@ -42,7 +42,7 @@
     state
 }
 
-fn boot(records: &[Kept], first: usize) -> Option<State> {
+fn boot(records: &[RawRecord], first: usize) -> Option<State> {
     let mut boot = Boot::new(first as u64);
     for record in &records[first..] {
         boot.push(record.clone());
--- a/crates/drumusher/src/process/platform/configuration.rs
+++ b/crates/drumusher/src/process/platform/configuration.rs
@@ -6,7 +6,7 @@
 };
 
 use drumusher_log::{
-    boot::{Boot, Kept},
+    boot::{Boot, RawRecord},
     config::{Record, State, Verdict, apply},
 };
 use drumusher_platform::{
@@ -31,14 +31,14 @@
 const RECENT: usize = 1_024;
 
 /// The latest records, to pass on. Of the process, because the peers thread reads it.
-static RECENT_RECORDS: Mutex<VecDeque<Kept>> = Mutex::new(VecDeque::new());
+static RECENT_RECORDS: Mutex<VecDeque<RawRecord>> = Mutex::new(VecDeque::new());
 
 /// The records from `offset` on, if all of them are at hand.
 pub fn recent_from(offset: u64) -> Option<peer::Records> {
     let recent = RECENT_RECORDS.lock().expect("no holder panics");
     let first = recent.front()?.offset;
     let start = usize::try_from(offset.checked_sub(first)?).ok()?;
-    let rest: Vec<&Kept> = recent.iter().skip(start).collect();
+    let rest: Vec<&RawRecord> = recent.iter().skip(start).collect();
     let joins = rest.first().is_some_and(|kept| kept.offset == offset);
     joins.then(|| {
         let bodies = rest.iter().map(|kept| kept.body.clone()).collect();
@@ -47,7 +47,7 @@
     })
 }
 
-fn keep(kept: &Kept) {
+fn keep(kept: &RawRecord) {
     let mut recent = RECENT_RECORDS.lock().expect("no holder panics");
     let joins = recent.back().is_none_or(|last| last.offset + 1 == kept.offset);
     if !joins {
@@ -79,7 +79,7 @@
     }
 
     /// Folds records that join on. Returns whether the state changed.
-    fn fold(&mut self, records: &[Kept]) -> bool {
+    fn fold(&mut self, records: &[RawRecord]) -> bool {
         if self.state.is_none() && records.first().is_some_and(|first| first.offset == 0) {
             self.state = Some(State::new());
         }
@@ -157,7 +157,7 @@
 async fn step(context: &Context, log: &Service, next: u64) -> Result<(), Error> {
     match log.read(CONFIGURATION, next, PAGE, WAIT_MS).await? {
         Page::Records(records) => {
-            let records: Vec<Kept> = records.into_iter().map(kept).collect();
+            let records: Vec<RawRecord> = records.into_iter().map(kept).collect();
             let changed = context.configuration.borrow_mut().fold(&records);
             if changed {
                 publish(context);
@@ -212,8 +212,8 @@
     }
 }
 
-fn kept(record: PlatformRecord) -> Kept {
-    Kept { offset: record.offset, time_ms: record.time_ms, body: record.body }
+fn kept(record: PlatformRecord) -> RawRecord {
+    RawRecord { offset: record.offset, time_ms: record.time_ms, body: record.body }
 }
 
 /// Records that another instance passed on. Those that do not join on wait for the log.
@@ -221,12 +221,12 @@
     let first = records.first.max(0) as u64;
     let offsets = first..;
     let bodies = records.bodies.into_iter().zip(records.times);
-    let joined = offsets.zip(bodies).map(|(offset, (body, time))| Kept {
+    let joined = offsets.zip(bodies).map(|(offset, (body, time))| RawRecord {
         offset,
         time_ms: time.max(0) as u64,
         body,
     });
-    let records: Vec<Kept> = joined.collect();
+    let records: Vec<RawRecord> = joined.collect();
     let changed = context.configuration.borrow_mut().fold(&records);
     if changed {
         context.shared.telemetry.count("drumusher.config.relayed", &[]);
