--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -61,7 +61,7 @@
     /// it did not answer.
     Gather(String, Answers),
     /// Ask other instances for the configuration, because the log cannot be read.
-    Seek,
+    FetchConfiguration,
 }
 
 /// Where the answers to a statement go: an instance with its rows, or without if it gave none.
--- a/crates/drumusher/src/process/peers/query.rs
+++ b/crates/drumusher/src/process/peers/query.rs
@@ -25,7 +25,7 @@
         while let Ok(input) = receiver.recv().await {
             match input {
                 Input::Gather(statement, reply) => self.gather(statement, reply),
-                Input::Seek => self.seek(),
+                Input::FetchConfiguration => self.seek(),
             }
         }
     }
--- a/crates/drumusher/src/process/platform/configuration.rs
+++ b/crates/drumusher/src/process/platform/configuration.rs
@@ -147,7 +147,7 @@
             context.shared.telemetry.count("drumusher.log.read_failures", &[]);
             log::debug!("configuration cannot be read: the log service {error}");
             if next.is_none() {
-                let _ = context.shared.peers.try_send(peers::Input::Seek);
+                let _ = context.shared.peers.try_send(peers::Input::FetchConfiguration);
             }
             sleep(AGAIN).await;
         }
