--- a/crates/drumusher-log/src/config/record.rs
+++ b/crates/drumusher-log/src/config/record.rs
@@ -22,7 +22,7 @@
 
 impl Kind {
     /// Its word in the operators' language.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Kind::Class => "class",
             Kind::Workspace => "workspace",
--- a/crates/drumusher/src/operator/mod.rs
+++ b/crates/drumusher/src/operator/mod.rs
@@ -52,7 +52,7 @@
         Statement::RotateKey(workspace, _) => format!("rotate key {workspace}"),
         Statement::Release(digest) => format!("release {digest}"),
         Statement::Change(change) => {
-            format!("{:?} {} {}", change.verb, change.kind.word(), change.name)
+            format!("{:?} {} {}", change.verb, change.kind.as_str(), change.name)
         }
     }
 }
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -172,7 +172,7 @@
             "time_ms": command.time_ms,
             "author": command.author,
             "verb": command.change.verb,
-            "kind": command.change.kind.word(),
+            "kind": command.change.kind.as_str(),
             "name": command.change.name,
             "fields": fields,
             "verdict": verdict,
