--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -103,7 +103,7 @@
 
 impl Verdict {
     /// Its word for operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Verdict::Free => "free",
             Verdict::Trial => "trial",
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -191,7 +191,7 @@
             "request": digest.to_hex(),
             "workspace": record.workspace,
             "route": record.route,
-            "verdict": record.verdict().word(),
+            "verdict": record.verdict().as_str(),
             "since_ms": record.since_ms,
             "latest_ms": record.latest_ms,
             "ended": record.ends.keys().collect::<Vec<_>>(),
