--- a/crates/drumusher-log/src/boot.rs
+++ b/crates/drumusher-log/src/boot.rs
@@ -1,19 +1,19 @@
-//! Finding the state to begin from when the log's oldest records are gone.
+//! Bootstrapping the configuration state when the log's oldest records are gone.
 
 use crate::config::{Record, State, apply};
 
-/// A record as the platform gave it.
+/// A record as read from the platform's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RawRecord {
     /// Its offset.
     pub offset: u64,
-    /// When the platform took it, in milliseconds since 1970.
+    /// When the platform accepted it, in Unix milliseconds.
     pub time_ms: u64,
-    /// Its bytes.
+    /// Its undecoded bytes.
     pub body: Vec<u8>,
 }
 
-/// Collects records from the oldest kept one until a state is certain.
+/// Collects records from the oldest retained one until the state they lead to is known.
 #[derive(Debug)]
 pub struct Boot {
     first: u64,
@@ -22,38 +22,39 @@
 }
 
 impl Boot {
-    /// Begins at `first`, the oldest offset kept. With all records from 0 on nothing is missing.
+    /// Starts at `first`, the oldest retained offset. With 0, no records are missing.
     pub fn new(first: u64) -> Self {
         let base = (first == 0).then(State::new);
         Boot { first, records: Vec::new(), base }
     }
 
-    /// Takes a peer's state, which serves when the log has no usable snapshot.
+    /// Adds a snapshot or another instance's state as a base. Used if it is newer than the current base and no
+    /// retained record is missing after it.
     pub fn offer(&mut self, state: State) {
         let newer = self.base.as_ref().is_none_or(|base| state.next > base.next);
-        let joins = state.next >= self.first;
-        if newer && joins {
+        let is_contiguous = state.next >= self.first;
+        if newer && is_contiguous {
             self.base = Some(state);
         }
     }
 
-    /// Takes the next record in offset order.
-    pub fn push(&mut self, kept: RawRecord) {
-        let snapshot = match serde_json::from_slice(&kept.body) {
+    /// Adds the next record in offset order.
+    pub fn push(&mut self, raw: RawRecord) {
+        let snapshot = match serde_json::from_slice(&raw.body) {
             Ok(Record::Snapshot { state }) => Some(*state),
             _ => None,
         };
-        self.records.push(kept);
+        self.records.push(raw);
         if let Some(state) = snapshot {
             self.offer(state);
         }
     }
 
-    /// The state after all records pushed, or `None` while it is not certain.
+    /// The state after all added records, or `None` while there is no base for them.
     pub fn finish(&self) -> Option<State> {
         let mut state = self.base.clone()?;
-        for kept in &self.records {
-            apply(&mut state, kept.offset, kept.time_ms, &kept.body);
+        for raw in &self.records {
+            apply(&mut state, raw.offset, raw.time_ms, &raw.body);
         }
         Some(state)
     }
--- a/crates/drumusher-log/src/claim.rs
+++ b/crates/drumusher-log/src/claim.rs
@@ -1,22 +1,22 @@
-//! Which attempt at a request that may not be repeated is the one that runs.
+//! Which attempt at a non-repeatable request is the one that runs.
 //!
-//! A claim is appended before the request is handed to a backend server. The first claim of a key
-//! in the order of the log wins; nothing else decides. There is no lease and no take-over, so a
-//! claimant that was paused can do no harm when it goes on.
+//! A claim is appended before the request is sent to a backend server. The first claim of a key in log order wins,
+//! and nothing else decides. There are no leases and no takeovers, so a claimant that was paused can do no harm
+//! when it resumes.
 
 use std::collections::{HashMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// The hash of workspace, route and idempotency key, in hexadecimal in records.
+/// The hash of workspace, route and idempotency key; hexadecimal in records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key(#[serde(with = "hexadecimal")] pub u128);
 
-/// One attempt to claim a key: random, chosen by the claimant.
+/// An attempt to claim a key: a random number chosen by the claimant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Attempt(#[serde(with = "hexadecimal")] pub u128);
 
-/// 128 bits as a text, which JSON numbers cannot hold.
+/// Serializes 128 bits as a string, since JSON numbers cannot hold them.
 mod hexadecimal {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
@@ -30,56 +30,56 @@
     }
 }
 
-/// An answer that is kept for repeats.
+/// An answer stored to be replayed for repeated requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
     /// Content type.
     pub content_type: String,
-    /// Body, in base64; absent if it was too large to keep.
+    /// Body in base64; `None` if it was too large to store.
     pub body: Option<String>,
 }
 
-/// One record of the claim stream.
+/// A record of the claim stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum Record {
     /// The claimant wants to run the request.
     Claim {
-        /// What is claimed.
+        /// The claimed key.
         key: Key,
-        /// By which attempt.
+        /// The claiming attempt.
         attempt: Attempt,
         /// The claimant's instance.
         instance: String,
-        /// Hash of the request, to tell a repeat from another request with the same key.
+        /// Hash of the request, to tell a repetition from another request with the same key.
         request: u64,
     },
-    /// The claimant itself says that nothing was handed over.
+    /// The claimant declares that it sent the request to no backend server.
     Release {
-        /// What was claimed.
+        /// The released key.
         key: Key,
-        /// By which attempt.
+        /// The releasing attempt.
         attempt: Attempt,
     },
     /// The request ran.
     Done {
-        /// What was claimed.
+        /// The key of the request.
         key: Key,
-        /// By which attempt.
+        /// The attempt that ran it.
         attempt: Attempt,
-        /// Its answer.
+        /// The answer of the backend server.
         answer: Answer,
     },
 }
 
-/// How a key stands.
+/// Progress of a claimed request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Status {
-    /// Claimed, and not known to have ended.
+    /// Claimed, and not known to have completed.
     Claimed,
-    /// It ran.
+    /// Completed, with its answer.
     Done(Answer),
 }
 
@@ -92,9 +92,9 @@
     pub instance: String,
     /// Hash of the request.
     pub request: u64,
-    /// When the platform took the claim, in milliseconds since 1970.
+    /// When the platform accepted the claim, in Unix milliseconds.
     pub time_ms: u64,
-    /// How it stands.
+    /// Progress of the request.
     pub status: Status,
 }
 
@@ -107,17 +107,17 @@
 }
 
 impl Index {
-    /// An index that begins at offset `next`.
+    /// An empty index that starts at offset `next`.
     pub fn new(next: u64) -> Self {
         Index { next, ..Index::default() }
     }
 
-    /// The offset of the next record to fold.
+    /// The offset of the next record to apply.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// How many keys are claimed.
+    /// Number of claimed keys.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -127,13 +127,13 @@
         self.claims.is_empty()
     }
 
-    /// The claim that holds `key`.
+    /// The winning claim of `key`.
     pub fn get(&self, key: Key) -> Option<&Claim> {
         self.claims.get(&key)
     }
 
-    /// Folds one record. Records before [`Index::next`] change nothing; one that cannot be read is
-    /// passed over. Returns the record if it was readable.
+    /// Applies a record. Records before [`Index::next`] have no effect, and a malformed one is skipped. Returns the
+    /// record if it was new and well-formed.
     pub fn apply(&mut self, offset: u64, time_ms: u64, body: &[u8]) -> Option<Record> {
         if offset < self.next {
             return None;
@@ -150,15 +150,15 @@
         Some(record)
     }
 
-    /// Forgets claims taken before `time_ms`.
+    /// Removes claims accepted before `time_ms`.
     pub fn forget_before(&mut self, time_ms: u64) {
         while let Some((taken, key, attempt)) = self.by_age.front().copied() {
             if taken >= time_ms {
                 return;
             }
             self.by_age.pop_front();
-            let same = self.claims.get(&key).is_some_and(|claim| claim.attempt == attempt);
-            if same {
+            let is_winner = self.claims.get(&key).is_some_and(|claim| claim.attempt == attempt);
+            if is_winner {
                 self.claims.remove(&key);
             }
         }
--- a/crates/drumusher-log/src/config/mod.rs
+++ b/crates/drumusher-log/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as a fold over commands.
+//! The operators' configuration, as the result of applying commands in order.
 
 mod object;
 mod record;
--- a/crates/drumusher-log/src/config/object.rs
+++ b/crates/drumusher-log/src/config/object.rs
@@ -4,13 +4,13 @@
 
 use super::Value;
 
-/// Setting one field of an object by its name in the operators' language.
+/// Setting a field of an object by its name in the operators' language.
 pub trait Field {
     /// Sets the field `name`.
     ///
     /// # Errors
     ///
-    /// A sentence that names the field and what it takes.
+    /// A message that names the field and the values it accepts.
     fn set(&mut self, name: &str, value: &Value) -> Result<(), String>;
 }
 
@@ -19,15 +19,15 @@
 pub struct Class {
     /// Priority; 0 is the highest.
     pub tier: u8,
-    /// Target to the first token, in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Target between tokens, in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     pub token_gap_ms: u64,
     /// Longest wait before a refusal, in milliseconds.
     pub wait_ms: u64,
-    /// One token in so many is set apart for the class; 0 for none.
+    /// One of this many tokens is reserved for the class; 0 for none.
     pub floor_every: u32,
-    /// Waiting places that no other class can take.
+    /// Number of queue slots reserved for the class.
     pub floor_queue: u32,
     /// Whether its requests may be run more than once.
     pub repeatable: bool,
@@ -50,15 +50,15 @@
 /// A workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Share relative to the others.
+    /// Fair-share weight relative to the other workspaces.
     pub weight: f64,
-    /// Class of requests that name none.
+    /// Default class of its requests.
     pub class: Option<String>,
-    /// Most requests running at once in a pool; 0 for no limit.
+    /// Most concurrently running requests in a pool; 0 for no limit.
     pub concurrency: u32,
-    /// Most requests waiting at once in a pool; 0 for no limit.
+    /// Most queued requests in a pool; 0 for no limit.
     pub queue: u32,
-    /// Tokens a second in a pool; 0 for no limit.
+    /// Rate limit in tokens per second in a pool; 0 for no limit.
     pub tokens_per_second: u32,
     /// SHA-256 of its API key, in hexadecimal.
     pub key_sha256: Option<String>,
@@ -77,18 +77,18 @@
     }
 }
 
-/// A model engine, or what is configured beyond the platform's list.
+/// A model engine, with what the platform's list lacks or leaves open.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// `ip:port`, when the platform's list does not have it.
+    /// `ip:port`, if the platform's list does not have it.
     pub address: Option<String>,
-    /// Its availability zone, when the platform's list does not have it.
+    /// Its availability zone, if the platform's list does not have it.
     pub availability_zone: Option<String>,
-    /// The model it serves, when the platform's list does not say.
+    /// The model it serves, if the platform's list does not have it.
     pub model: Option<String>,
-    /// Most requests given to it at once.
+    /// Most concurrent requests.
     pub slots: u32,
-    /// Whether it gets no new work.
+    /// Whether it gets no new requests.
     pub drained: bool,
 }
 
@@ -101,13 +101,13 @@
 /// A plain service: all its servers together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Most requests given to one of its servers at once.
+    /// Most concurrent requests on one of its servers.
     pub slots: u32,
     /// Whether its calls may be run more than once.
     pub repeatable: bool,
-    /// Whether it gets no new work.
+    /// Whether it gets no new requests.
     pub drained: bool,
-    /// Longest time to wait for an answer, in milliseconds.
+    /// Longest wait for an answer, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Any object.
+/// An object of any kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Object {
     /// A class.
@@ -133,14 +133,14 @@
 impl Field for Class {
     fn set(&mut self, name: &str, value: &Value) -> Result<(), String> {
         match name {
-            "tier" => self.tier = whole(name, value, 15)? as u8,
-            "first_token" => self.first_token_ms = whole(name, value, MOST_MS)?,
-            "token_gap" => self.token_gap_ms = whole(name, value, MOST_MS)?,
-            "wait" => self.wait_ms = whole(name, value, MOST_MS)?,
-            "floor_every" => self.floor_every = whole(name, value, MOST_COUNT)? as u32,
-            "floor_queue" => self.floor_queue = whole(name, value, MOST_COUNT)? as u32,
-            "repeatable" => self.repeatable = flag(name, value)?,
-            _ => return Err(unknown(name, "class")),
+            "tier" => self.tier = integer(name, value, 15)? as u8,
+            "first_token" => self.first_token_ms = integer(name, value, MAX_MS)?,
+            "token_gap" => self.token_gap_ms = integer(name, value, MAX_MS)?,
+            "wait" => self.wait_ms = integer(name, value, MAX_MS)?,
+            "floor_every" => self.floor_every = integer(name, value, MAX_COUNT)? as u32,
+            "floor_queue" => self.floor_queue = integer(name, value, MAX_COUNT)? as u32,
+            "repeatable" => self.repeatable = boolean(name, value)?,
+            _ => return Err(unknown_field(name, "class")),
         }
         Ok(())
     }
@@ -150,12 +150,12 @@
     fn set(&mut self, name: &str, value: &Value) -> Result<(), String> {
         match name {
             "weight" => self.weight = positive(name, value)?,
-            "class" => self.class = Some(text(name, value)?),
-            "concurrency" => self.concurrency = whole(name, value, MOST_COUNT)? as u32,
-            "queue" => self.queue = whole(name, value, MOST_COUNT)? as u32,
-            "tokens_per_second" => self.tokens_per_second = whole(name, value, MOST_COUNT)? as u32,
+            "class" => self.class = Some(string(name, value)?),
+            "concurrency" => self.concurrency = integer(name, value, MAX_COUNT)? as u32,
+            "queue" => self.queue = integer(name, value, MAX_COUNT)? as u32,
+            "tokens_per_second" => self.tokens_per_second = integer(name, value, MAX_COUNT)? as u32,
             "key_sha256" => self.key_sha256 = Some(digest(name, value)?),
-            _ => return Err(unknown(name, "workspace")),
+            _ => return Err(unknown_field(name, "workspace")),
         }
         Ok(())
     }
@@ -165,11 +165,11 @@
     fn set(&mut self, name: &str, value: &Value) -> Result<(), String> {
         match name {
             "address" => self.address = Some(address(name, value)?),
-            "availability_zone" => self.availability_zone = Some(text(name, value)?),
-            "model" => self.model = Some(text(name, value)?),
-            "slots" => self.slots = whole(name, value, MOST_COUNT)?.max(1) as u32,
-            "drained" => self.drained = flag(name, value)?,
-            _ => return Err(unknown(name, "engine")),
+            "availability_zone" => self.availability_zone = Some(string(name, value)?),
+            "model" => self.model = Some(string(name, value)?),
+            "slots" => self.slots = integer(name, value, MAX_COUNT)?.max(1) as u32,
+            "drained" => self.drained = boolean(name, value)?,
+            _ => return Err(unknown_field(name, "engine")),
         }
         Ok(())
     }
@@ -178,47 +178,47 @@
 impl Field for Service {
     fn set(&mut self, name: &str, value: &Value) -> Result<(), String> {
         match name {
-            "slots" => self.slots = whole(name, value, MOST_COUNT)?.max(1) as u32,
-            "repeatable" => self.repeatable = flag(name, value)?,
-            "drained" => self.drained = flag(name, value)?,
-            "timeout" => self.timeout_ms = whole(name, value, MOST_MS)?,
-            _ => return Err(unknown(name, "service")),
+            "slots" => self.slots = integer(name, value, MAX_COUNT)?.max(1) as u32,
+            "repeatable" => self.repeatable = boolean(name, value)?,
+            "drained" => self.drained = boolean(name, value)?,
+            "timeout" => self.timeout_ms = integer(name, value, MAX_MS)?,
+            _ => return Err(unknown_field(name, "service")),
         }
         Ok(())
     }
 }
 
-/// A day in milliseconds, the longest time a field takes.
-const MOST_MS: u64 = 86_400_000;
-/// The largest count a field takes.
-const MOST_COUNT: u64 = 1_000_000;
+/// The longest time a field accepts: a day, in milliseconds.
+const MAX_MS: u64 = 86_400_000;
+/// The largest count a field accepts.
+const MAX_COUNT: u64 = 1_000_000;
 
-fn unknown(name: &str, kind: &str) -> String {
+fn unknown_field(name: &str, kind: &str) -> String {
     format!("a {kind} has no field {name}")
 }
 
-fn whole(name: &str, value: &Value, most: u64) -> Result<u64, String> {
+fn integer(name: &str, value: &Value, limit: u64) -> Result<u64, String> {
     match value {
-        Value::Number(n) if n.fract() == 0.0 && *n >= 0.0 && *n <= most as f64 => Ok(*n as u64),
-        other => Err(format!("{name} takes a whole number from 0 to {most}, not {other}")),
+        Value::Number(n) if n.fract() == 0.0 && *n >= 0.0 && *n <= limit as f64 => Ok(*n as u64),
+        other => Err(format!("{name} takes a whole number from 0 to {limit}, not {other}")),
     }
 }
 
 fn positive(name: &str, value: &Value) -> Result<f64, String> {
     match value {
-        Value::Number(n) if *n > 0.0 && *n <= MOST_COUNT as f64 => Ok(*n),
+        Value::Number(n) if *n > 0.0 && *n <= MAX_COUNT as f64 => Ok(*n),
         other => Err(format!("{name} takes a number above 0, not {other}")),
     }
 }
 
-fn flag(name: &str, value: &Value) -> Result<bool, String> {
+fn boolean(name: &str, value: &Value) -> Result<bool, String> {
     match value {
         Value::Flag(flag) => Ok(*flag),
         other => Err(format!("{name} takes true or false, not {other}")),
     }
 }
 
-fn text(name: &str, value: &Value) -> Result<String, String> {
+fn string(name: &str, value: &Value) -> Result<String, String> {
     match value {
         Value::Text(text) => Ok(text.clone()),
         other => Err(format!("{name} takes a word, not {other}")),
@@ -226,16 +226,16 @@
 }
 
 fn digest(name: &str, value: &Value) -> Result<String, String> {
-    let text = text(name, value)?;
-    let hexadecimal = text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    if !hexadecimal {
+    let text = string(name, value)?;
+    let valid = text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    if !valid {
         return Err(format!("{name} takes 64 hexadecimal digits"));
     }
     Ok(text.to_ascii_lowercase())
 }
 
 fn address(name: &str, value: &Value) -> Result<String, String> {
-    let text = text(name, value)?;
+    let text = string(name, value)?;
     match text.parse::<std::net::SocketAddr>() {
         Ok(_) => Ok(text),
         Err(_) => Err(format!("{name} takes ip:port, not {text}")),
--- a/crates/drumusher-log/src/config/record.rs
+++ b/crates/drumusher-log/src/config/record.rs
@@ -1,4 +1,4 @@
-//! One record of the configuration stream.
+//! Records of the configuration stream.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -6,7 +6,7 @@
 
 use super::State;
 
-/// What a command is about.
+/// The kind of object that a command changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -21,7 +21,7 @@
 }
 
 impl Kind {
-    /// Its word in the operators' language.
+    /// Its keyword in the operators' language.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Class => "class",
@@ -32,16 +32,16 @@
     }
 }
 
-/// What a command does to its object.
+/// The operation of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verb {
-    /// Creates it; a conflict if it is there.
+    /// Creates the object; a conflict if it exists.
     Create,
-    /// Changes some of its fields; an engine or service that only the platform's list has is
+    /// Changes some fields of the object. An engine or service that is known only from the platform's list is
     /// created.
     Set,
-    /// Removes it.
+    /// Removes the object.
     Drop,
 }
 
@@ -49,11 +49,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// A truth value.
+    /// A boolean.
     Flag(bool),
     /// A number; times are in milliseconds.
     Number(f64),
-    /// A text.
+    /// A string.
     Text(String),
 }
 
@@ -67,59 +67,59 @@
     }
 }
 
-/// A change to one object.
+/// A change of one object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// What to do.
+    /// The operation.
     pub verb: Verb,
-    /// The kind of object.
+    /// The kind of the object.
     pub kind: Kind,
-    /// Its name.
+    /// The name of the object.
     pub name: String,
     /// The fields to set.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub fields: BTreeMap<String, Value>,
-    /// The version of the object that the command was made against.
+    /// The version of the object that the command expects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub if_version: Option<u64>,
 }
 
-/// One record: a command, or a snapshot of the state at an earlier offset.
+/// A record: a command, or a snapshot of the state at an earlier offset.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum Record {
     /// An operator's command.
     Command {
-        /// Chosen by the sender; a record with a nonce seen before is ignored.
+        /// Chosen by the sender; a record with a known nonce is ignored.
         nonce: String,
-        /// Name of the operator key.
+        /// Name of the operator's key.
         author: String,
-        /// What to change.
+        /// The requested change.
         change: Change,
     },
     /// The whole state up to an earlier offset.
     Snapshot {
-        /// That state.
+        /// The state.
         state: Box<State>,
     },
 }
 
-/// What became of a command. It follows from the log alone.
+/// Outcome of a command, which depends only on the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is in force from its offset on.
+    /// In force from the command's offset on.
     Accepted,
-    /// The object is not as the command expected.
+    /// The object is not in the state that the command expects.
     Conflict {
         /// The object's version, if it exists.
         version: Option<u64>,
-        /// Who changed it last.
+        /// Who last changed the object.
         author: Option<String>,
     },
-    /// The command makes no sense.
+    /// The command is invalid.
     Invalid {
-        /// Why, naming the field.
+        /// Why; names the field.
         reason: String,
     },
 }
--- a/crates/drumusher-log/src/config/state.rs
+++ b/crates/drumusher-log/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The state that the fold reaches, and one step of the fold.
+//! The configuration state, and the application of a record to it.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -8,42 +8,42 @@
     Change, Class, Engine, Field, Kind, Object, Record, Service, Value, Verb, Verdict, Workspace,
 };
 
-/// Commands remembered for duplicates and for the audit trail. Trimmed by count, so that all
-/// instances remember the same ones.
-const COMMANDS: usize = 8_192;
+/// Number of commands remembered, for deduplication and as the audit trail. Limited by count and not by age, so
+/// that all instances remember the same ones.
+const MAX_COMMANDS: usize = 8_192;
 
-/// An object with the offset that last changed it.
+/// An object with the command that last changed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// The offset of the command that last changed it.
+    /// The offset of that command.
     pub version: u64,
-    /// Who gave that command.
+    /// The author of that command.
     pub author: String,
     /// The object.
     pub object: T,
 }
 
-/// A command that was folded.
+/// An applied command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// Its offset.
     pub offset: u64,
-    /// When the platform took it, in milliseconds since 1970.
+    /// When the platform accepted it, in Unix milliseconds.
     pub time_ms: u64,
     /// Its nonce.
     pub nonce: String,
-    /// Who gave it.
+    /// Name of the operator's key.
     pub author: String,
-    /// What it was to change.
+    /// The requested change.
     pub change: Change,
-    /// What became of it.
+    /// Its outcome.
     pub verdict: Verdict,
 }
 
 /// The configuration after all records before [`State::next`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
-    /// The offset of the next record to fold.
+    /// The offset of the next record to apply.
     pub next: u64,
     /// Request classes by name.
     pub classes: BTreeMap<String, Versioned<Class>>,
@@ -55,13 +55,13 @@
     pub services: BTreeMap<String, Versioned<Service>>,
     /// The latest commands, oldest first.
     pub commands: VecDeque<Command>,
-    /// The nonces of those commands; made again after a state was read.
+    /// The nonces of those commands; rebuilt after deserialization.
     #[serde(skip)]
     nonces: HashSet<String>,
 }
 
 impl PartialEq for State {
-    /// The index of nonces follows from the commands and is left out.
+    /// Ignores the index of nonces, which follows from the commands.
     fn eq(&self, other: &State) -> bool {
         self.next == other.next
             && self.classes == other.classes
@@ -83,8 +83,8 @@
         self.commands.iter().rev().find(|command| command.nonce == nonce)
     }
 
-    /// Whether a nonce is remembered.
-    fn knows(&mut self, nonce: &str) -> bool {
+    /// Whether a command with this nonce is remembered.
+    fn has_nonce(&mut self, nonce: &str) -> bool {
         if self.nonces.len() != self.commands.len() {
             self.nonces = self.commands.iter().map(|command| command.nonce.clone()).collect();
         }
@@ -93,15 +93,15 @@
 
     /// An object by kind and name.
     pub fn object(&self, kind: Kind, name: &str) -> Option<Versioned<Object>> {
-        fn found<T: Clone>(v: &Versioned<T>, object: fn(T) -> Object) -> Versioned<Object> {
+        fn wrap<T: Clone>(v: &Versioned<T>, object: fn(T) -> Object) -> Versioned<Object> {
             let Versioned { version, author, object: inner } = v.clone();
             Versioned { version, author, object: object(inner) }
         }
         match kind {
-            Kind::Class => self.classes.get(name).map(|v| found(v, Object::Class)),
-            Kind::Workspace => self.workspaces.get(name).map(|v| found(v, Object::Workspace)),
-            Kind::Engine => self.engines.get(name).map(|v| found(v, Object::Engine)),
-            Kind::Service => self.services.get(name).map(|v| found(v, Object::Service)),
+            Kind::Class => self.classes.get(name).map(|v| wrap(v, Object::Class)),
+            Kind::Workspace => self.workspaces.get(name).map(|v| wrap(v, Object::Workspace)),
+            Kind::Engine => self.engines.get(name).map(|v| wrap(v, Object::Engine)),
+            Kind::Service => self.services.get(name).map(|v| wrap(v, Object::Service)),
         }
     }
 
@@ -132,8 +132,8 @@
     }
 }
 
-/// Folds one record into `state`. Records before [`State::next`] change nothing, so that applying
-/// a record twice or late does no harm; a record that cannot be read is passed over by all alike.
+/// Applies a record to `state`. Records before [`State::next`] have no effect, so that a record may be applied
+/// repeatedly or late; a malformed record is skipped by all instances alike.
 ///
 /// Returns the verdict if the record was a new command.
 pub fn apply(state: &mut State, offset: u64, time_ms: u64, body: &[u8]) -> Option<Verdict> {
@@ -145,35 +145,38 @@
     let Record::Command { nonce, author, change } = record else {
         return None;
     };
-    if state.knows(&nonce) {
+    if state.has_nonce(&nonce) {
         return None;
     }
-    let verdict = match judge(state, &change) {
+    let verdict = match validate(state, &change) {
         Ok(after) => {
-            enforce(state, offset, &author, &change, after);
+            apply_change(state, offset, &author, &change, after);
             Verdict::Accepted
         }
         Err(verdict) => verdict,
     };
-    remember(state, Command { offset, time_ms, nonce, author, change, verdict: verdict.clone() });
+    record_command(
+        state,
+        Command { offset, time_ms, nonce, author, change, verdict: verdict.clone() },
+    );
     Some(verdict)
 }
 
-/// The object as the change leaves it (`None` when dropped), or the verdict that rejects it.
-fn judge(state: &State, change: &Change) -> Result<Option<Object>, Verdict> {
+/// Validates a change. Returns the changed object, `None` if it is removed, or the verdict that rejects the change.
+fn validate(state: &State, change: &Change) -> Result<Option<Object>, Verdict> {
     let before = state.object(change.kind, &change.name);
     check_name(&change.name)?;
     check_version(change, before.as_ref())?;
     let object = match (change.verb, before) {
         (Verb::Create, Some(object)) => return Err(conflict(Some(&object))),
-        // A backend server may be known from the platform's list alone.
-        (Verb::Set, None) if listed(change.kind) => blank(change.kind),
+        // A backend server may be known only from the platform's list.
+        (Verb::Set, None) if is_platform_listed(change.kind) => default_object(change.kind),
         (Verb::Set | Verb::Drop, None) => return Err(conflict(None)),
         (Verb::Drop, Some(_)) => {
             check_unused(state, change)?;
             return Ok(None);
         }
-        (Verb::Create, None) => blank(change.kind),
+        (Verb::Create, None) => default_object(change.kind),
         (Verb::Set, Some(versioned)) => versioned.object,
     };
     let object = with_fields(object, &change.fields)?;
@@ -181,15 +184,21 @@
     Ok(Some(object))
 }
 
-fn enforce(state: &mut State, offset: u64, author: &str, change: &Change, after: Option<Object>) {
+fn apply_change(
+    state: &mut State,
+    offset: u64,
+    author: &str,
+    change: &Change,
+    after: Option<Object>,
+) {
     match after {
         Some(object) => state.insert(change.name.clone(), offset, author.into(), object),
         None => state.remove(change.kind, &change.name),
     }
 }
 
-fn remember(state: &mut State, command: Command) {
-    if state.commands.len() == COMMANDS {
+fn record_command(state: &mut State, command: Command) {
+    if state.commands.len() == MAX_COMMANDS {
         let oldest = state.commands.pop_front();
         oldest.map(|oldest| state.nonces.remove(&oldest.nonce));
     }
@@ -210,8 +219,8 @@
 
 fn check_name(name: &str) -> Result<(), Verdict> {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_./:".contains(&b);
-    let fits = !name.is_empty() && name.len() <= 128 && name.bytes().all(allowed);
-    if fits { Ok(()) } else { Err(invalid(format!("{name:?} is not a name"))) }
+    let valid = !name.is_empty() && name.len() <= 128 && name.bytes().all(allowed);
+    if valid { Ok(()) } else { Err(invalid(format!("{name:?} is not a name"))) }
 }
 
 fn check_version(change: &Change, before: Option<&Versioned<Object>>) -> Result<(), Verdict> {
@@ -246,12 +255,12 @@
     Err(invalid(format!("there is no class {class}")))
 }
 
-/// Whether objects of a kind are also named by the platform's list.
-fn listed(kind: Kind) -> bool {
+/// Whether objects of a kind may also come from the platform's list.
+fn is_platform_listed(kind: Kind) -> bool {
     matches!(kind, Kind::Engine | Kind::Service)
 }
 
-fn blank(kind: Kind) -> Object {
+fn default_object(kind: Kind) -> Object {
     match kind {
         Kind::Class => Object::Class(Class::default()),
         Kind::Workspace => Object::Workspace(Workspace::default()),
--- a/crates/drumusher-log/src/lib.rs
+++ b/crates/drumusher-log/src/lib.rs
@@ -1,11 +1,10 @@
-//! What lasts: a fold over the platform's append-only log.
+//! Durable state, derived from the platform's append-only log.
 //!
-//! [`config`] is the operators' configuration. Every instance folds the same records in the order
-//! of their offsets, so that all reach the same state and the same verdict on each command without
-//! talking to each other. [`boot`] finds the state to begin from when old records are gone.
-//! [`claim`] decides, by the order in the log alone, which attempt at a request that may not be
-//! repeated is the one that runs. [`quarantine`] is what is known of requests that end the backend
-//! servers which run them. [`position`] is a position in a log of a store that may come back from a copy.
+//! [`config`] is the operators' configuration. Every instance applies the same records in offset order, so that all
+//! arrive at the same state, and at the same verdict on each command, without communicating. [`boot`] finds the
+//! state to start from when old records are gone. [`claim`] decides, by log order alone, which attempt at a
+//! non-repeatable request is the one that runs. [`quarantine`] holds records of requests that crash the backend
+//! servers which run them. [`position`] is a position in a log of a store that may be restored from a backup.
 //!
 //! The crate has no clock, thread or socket. Records are JSON objects; unknown fields are ignored.
 
--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -1,108 +1,112 @@
-//! Requests that end the backend servers which run them.
+//! Quarantine of requests that crash the backend servers which run them.
 //!
-//! A request may crash each backend server that begins it, and its caller comes back with it. Every run costs the
-//! requests beside it, so it has to be known when it comes anew, at whichever instance, and must not run again. What is
-//! known of it is evidence: the starts of backend servers that ended while it was there. All that were there are
-//! suspects alike, most of them innocent. What tells them apart is a trial: a suspect runs where no other suspect does.
-//! One that ends two backend servers so is held back; one that gets any answer is cleared at once.
+//! A request may crash each backend server that starts it, and its caller retries it. Every run also fails the
+//! requests beside it, so a retry has to be recognized at whichever instance it arrives, and must not run again.
+//! The evidence kept about a request is the set of backend server starts that crashed while running it. All
+//! requests that were running at a crash are suspects alike, most of them innocent. A trial tells them apart: a
+//! suspect runs where no other suspect does. One that crashes two backend servers that way is held back; one that
+//! gets any answer is cleared at once.
 //!
-//! The table is bounded. It is keyed by digests, so that no caller's bytes are kept; only requests that were at the end
-//! of a backend server enter it; and who has the most records loses one first, so that nobody drives out another's.
+//! The table is bounded. It is keyed by digests, so that no caller's bytes are stored; only requests that were
+//! running at a crash enter it; and the workspace with the most records loses one first, so that no workspace
+//! displaces another's.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::{Deserialize, Serialize};
 
-/// Ends from which on a request runs only on trial: one end has many beside it, and a second one few of these, since
-/// their repeats go to different backend servers.
-const TRIAL_AFTER: usize = 2;
-/// Ends on trial from which on a request is held back. One may be another's: a backend server that ends by itself,
-/// or a suspect that nobody knows yet. With [`TRIAL_AFTER`] a request ends four backend servers where it comes one after
-/// the other.
-const HELD_AFTER: usize = 2;
-/// Most ends that are remembered of a request.
-const MOST_ENDS: usize = 8;
-/// Most requests that are known: with eight ends of long names each some 600 bytes as they are written, and so 0.6 MB.
-pub const MOST: usize = 1_024;
-/// How long a suspect is remembered after the latest end, in milliseconds. Chosen: callers come back within minutes.
-const SUSPECT_FOR_MS: u64 = 10 * 60_000;
-/// How long a request is held back after the latest end, in milliseconds; then it has another trial, since its backend
-/// servers may have been mended. Chosen: two ends an hour are borne, and an operator can let it go sooner.
-const HELD_FOR_MS: u64 = 60 * 60_000;
+/// Number of crashes from which on a request runs only on trial. Many requests are running at one crash, but few of
+/// them at a second one, since their retries go to different backend servers.
+const TRIAL_THRESHOLD: usize = 2;
+/// Number of crashes on trial from which on a request is held back. One of them may be unrelated: a backend server
+/// that crashes by itself, or because of a suspect that is not known yet. With [`TRIAL_THRESHOLD`], a request whose
+/// retries come one after the other crashes four backend servers.
+const HOLD_THRESHOLD: usize = 2;
+/// Maximum number of crashes stored for a request.
+const MAX_CRASHES: usize = 8;
+/// Maximum number of records. With eight crashes and long names, a serialized record has some 600 bytes, and the
+/// table 0.6 MB.
+pub const MAX_RECORDS: usize = 1_024;
+/// How long a suspect is remembered after its latest crash, in milliseconds: callers retry within minutes.
+const SUSPECT_RETENTION_MS: u64 = 10 * 60_000;
+/// How long a request is held back after its latest crash, in milliseconds. After that it gets another trial, since
+/// its backend servers may have been fixed. Two crashes an hour are acceptable, and an operator can release it
+/// sooner.
+const HOLD_DURATION_MS: u64 = 60 * 60_000;
 
-/// What tells a request from others when it comes anew: a keyed hash of its workspace, method, host, path and body.
+/// Identifies a request across retries: a keyed hash of its workspace, method, host, path and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Digest(pub u128);
 
 impl Digest {
-    /// As operators see it, and as the key of its record.
+    /// The digest in hexadecimal, as shown to operators and used as the key of its record.
     pub fn to_hex(self) -> String {
         format!("{:032x}", self.0)
     }
 
-    /// From what operators see.
+    /// Parses the hexadecimal form.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         digits.then(|| u128::from_str_radix(text, 16).ok().map(Digest))?
     }
 
-    /// From sixteen bytes; `None` for any other number.
+    /// Decodes a digest from a message; `None` unless it has sixteen bytes.
     pub fn from_wire(bytes: &[u8]) -> Option<Self> {
         Some(Digest(u128::from_be_bytes(bytes.try_into().ok()?)))
     }
 
-    /// As sixteen bytes between instances.
+    /// Encodes the digest for messages between instances, as sixteen bytes.
     pub fn to_wire(self) -> Vec<u8> {
         self.0.to_be_bytes().to_vec()
     }
 }
 
-/// The end of a backend server while it ran a request.
+/// A crash of a backend server while it ran a request.
 #[derive(Clone, Debug)]
 pub struct Crash<'a> {
-    /// The start of the backend server that ended; no other start has the same text.
+    /// Identifies the start of the backend server that crashed; no two starts have the same text.
     pub start: String,
     /// Whether the request was on trial there.
     pub alone: bool,
-    /// When it was seen, in Unix milliseconds.
+    /// When the crash was seen, in Unix milliseconds.
     pub at_ms: u64,
     /// The workspace of the request.
     pub workspace: &'a str,
-    /// Its route.
+    /// The route of the request.
     pub route: &'a str,
 }
 
-/// What is known of a request.
+/// Evidence about a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The starts of backend servers that ended while it ran there, each with whether it was on trial.
+    /// The starts of backend servers that crashed while running it, each with whether it was on trial.
     pub ends: BTreeMap<String, bool>,
-    /// When the first and the latest of them were seen, in Unix milliseconds.
+    /// When the first crash was seen, in Unix milliseconds.
     pub since_ms: u64,
-    /// See `since_ms`.
+    /// When the latest crash was seen, in Unix milliseconds.
     pub latest_ms: u64,
     /// Its workspace.
     pub workspace: String,
     /// Its route.
     pub route: String,
-    /// Whether the store has it.
+    /// Whether the store is known to have the record.
     #[serde(skip)]
     stored: bool,
 }
 
-/// What may be done with a request.
+/// How a request may be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may run.
+    /// It may run anywhere.
     Free,
-    /// It may run apart from other suspects.
+    /// It may run only where no other suspect does.
     Trial,
     /// It may not run.
     Held,
 }
 
 impl Verdict {
-    /// Its word for operators.
+    /// The name shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::Free => "free",
@@ -113,21 +117,21 @@
 }
 
 impl Record {
-    /// What may be done with the request.
+    /// How the request may be run.
     pub fn verdict(&self) -> Verdict {
         let alone = self.ends.values().filter(|alone| **alone).count();
         match self.ends.len() {
-            _ if alone >= HELD_AFTER => Verdict::Held,
-            ends if ends >= TRIAL_AFTER => Verdict::Trial,
+            _ if alone >= HOLD_THRESHOLD => Verdict::Held,
+            ends if ends >= TRIAL_THRESHOLD => Verdict::Trial,
             _ => Verdict::Free,
         }
     }
 
-    /// Adds ends that are not known, up to [`MOST_ENDS`]; those on trial always. Returns whether there were any.
-    fn add(&mut self, ends: impl IntoIterator<Item = (String, bool)>) -> bool {
+    /// Adds new crashes up to [`MAX_CRASHES`], and those on trial beyond it. Returns whether there were any.
+    fn add_crashes(&mut self, ends: impl IntoIterator<Item = (String, bool)>) -> bool {
         let mut changed = false;
         for (start, alone) in ends {
-            let has_room = alone || self.ends.len() < MOST_ENDS;
+            let has_room = alone || self.ends.len() < MAX_CRASHES;
             match self.ends.get_mut(&start) {
                 Some(known) => {
                     changed |= alone && !*known;
@@ -143,127 +147,130 @@
         changed
     }
 
-    fn is_over(&self, now_ms: u64) -> bool {
-        let kept = if self.verdict() == Verdict::Held { HELD_FOR_MS } else { SUSPECT_FOR_MS };
+    fn is_expired(&self, now_ms: u64) -> bool {
+        let kept =
+            if self.verdict() == Verdict::Held { HOLD_DURATION_MS } else { SUSPECT_RETENTION_MS };
         now_ms > self.latest_ms + kept
     }
 
-    /// What is lost last: a request held back, then one with more ends, then one seen later.
-    fn weight(&self) -> (bool, usize, u64) {
+    /// Sort key for eviction: requests that are held back are evicted last, then those with more crashes, then
+    /// those seen later.
+    fn eviction_rank(&self) -> (bool, usize, u64) {
         (self.verdict() == Verdict::Held, self.ends.len(), self.latest_ms)
     }
 }
 
-/// What is known of requests.
+/// The records of all suspected requests.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     records: HashMap<Digest, Record>,
 }
 
 impl Table {
-    /// Nothing is known yet.
+    /// An empty table.
     pub fn new() -> Self {
         Table::default()
     }
 
-    /// How many requests are known.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is known.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// How many are held back.
+    /// Number of requests that are held back.
     pub fn held_count(&self) -> usize {
         self.records.values().filter(|record| record.verdict() == Verdict::Held).count()
     }
 
-    /// What is known of a request.
+    /// The record of a request.
     pub fn get(&self, digest: Digest) -> Option<&Record> {
         self.records.get(&digest)
     }
 
-    /// All that is known.
+    /// All records.
     pub fn iter(&self) -> impl Iterator<Item = (Digest, &Record)> {
         self.records.iter().map(|(digest, record)| (*digest, record))
     }
 
-    /// What may be done with a request.
+    /// How a request may be run.
     pub fn verdict(&self, digest: Digest) -> Verdict {
         self.records.get(&digest).map_or(Verdict::Free, Record::verdict)
     }
 
-    /// A backend server ended while it ran the request. Returns whether that was not known.
-    pub fn record_crash(&mut self, digest: Digest, end: Crash<'_>) -> bool {
+    /// Records a crash of a backend server while it ran the request. Returns whether it was new.
+    pub fn record_crash(&mut self, digest: Digest, crash: Crash<'_>) -> bool {
         let fresh = Record {
-            since_ms: end.at_ms,
-            workspace: end.workspace.into(),
-            route: end.route.into(),
+            since_ms: crash.at_ms,
+            workspace: crash.workspace.into(),
+            route: crash.route.into(),
             ..Record::default()
         };
         let record = self.records.entry(digest).or_insert(fresh);
-        let changed = record.add([(end.start, end.alone)]);
+        let changed = record.add_crashes([(crash.start, crash.alone)]);
         if changed {
-            record.latest_ms = record.latest_ms.max(end.at_ms);
+            record.latest_ms = record.latest_ms.max(crash.at_ms);
         }
-        self.bound();
+        self.evict_excess();
         changed
     }
 
-    /// The request got an answer, or an operator lets it go. Returns whether it was known: then the store has to be told,
-    /// also of one that it is not known to have. What was written may not have been read back yet, and would come back as
-    /// a suspect for good.
+    /// Removes a request's record because it got an answer or an operator released it. Returns whether there was
+    /// one. The removal has to be written to the store then, even if the store is not known to have the record: one
+    /// that was written but not read back yet would otherwise return, and make the request a suspect for good.
     pub fn clear(&mut self, digest: Digest) -> bool {
         self.records.remove(&digest).is_some()
     }
 
-    /// Takes what the store has of a request. Ends that are known here and not there stay.
-    pub fn merge(&mut self, digest: Digest, told: Record) {
+    /// Merges a record of the store. Crashes known only here are kept.
+    pub fn merge(&mut self, digest: Digest, other: Record) {
         match self.records.get_mut(&digest) {
             Some(record) => {
-                record.add(told.ends);
-                record.since_ms = record.since_ms.min(told.since_ms);
-                record.latest_ms = record.latest_ms.max(told.latest_ms);
+                record.add_crashes(other.ends);
+                record.since_ms = record.since_ms.min(other.since_ms);
+                record.latest_ms = record.latest_ms.max(other.latest_ms);
                 record.stored = true;
             }
             None => {
-                self.records.insert(digest, Record { stored: true, ..told });
-                self.bound();
+                self.records.insert(digest, Record { stored: true, ..other });
+                self.evict_excess();
             }
         }
     }
 
-    /// The store no longer has a request.
+    /// Removes a request that the store no longer has.
     pub fn remove(&mut self, digest: Digest) {
         self.records.remove(&digest);
     }
 
-    /// The store has these requests and no others. What was not written there yet stays.
-    pub fn only(&mut self, there: &BTreeSet<Digest>) {
+    /// Keeps only these requests, which are all that the store has, and those whose record was not written there
+    /// yet.
+    pub fn retain_listed(&mut self, there: &BTreeSet<Digest>) {
         self.records.retain(|digest, record| !record.stored || there.contains(digest));
     }
 
-    /// Requests whose time is over.
-    pub fn over(&self, now_ms: u64) -> Vec<Digest> {
-        let over = self.records.iter().filter(|(_, record)| record.is_over(now_ms));
-        over.map(|(digest, _)| *digest).collect()
+    /// Requests whose record has expired.
+    pub fn expired(&self, now_ms: u64) -> Vec<Digest> {
+        let expired = self.records.iter().filter(|(_, record)| record.is_expired(now_ms));
+        expired.map(|(digest, _)| *digest).collect()
     }
 
-    /// Keeps the table within [`MOST`]: of the workspace with the most records the least one goes.
-    fn bound(&mut self) {
-        while self.records.len() > MOST {
+    /// Keeps the table within [`MAX_RECORDS`]: evicts the least important record of the workspace with the most
+    /// records.
+    fn evict_excess(&mut self) {
+        while self.records.len() > MAX_RECORDS {
             let mut counts: HashMap<&str, usize> = HashMap::new();
             for record in self.records.values() {
                 *counts.entry(record.workspace.as_str()).or_default() += 1;
             }
             let share = |record: &Record| counts[record.workspace.as_str()];
-            let least = self
-                .records
-                .iter()
-                .min_by_key(|(_, record)| (std::cmp::Reverse(share(record)), record.weight()));
+            let least = self.records.iter().min_by_key(|(_, record)| {
+                (std::cmp::Reverse(share(record)), record.eviction_rank())
+            });
             let Some(least) = least.map(|(digest, _)| *digest) else { return };
             self.records.remove(&least);
         }
--- a/crates/drumusher-log/tests/log/boot.rs
+++ b/crates/drumusher-log/tests/log/boot.rs
@@ -1,4 +1,4 @@
-//! Finding the state to begin from.
+//! Bootstrapping the configuration state.
 
 use drumusher_log::{
     boot::{Boot, RawRecord},
@@ -12,7 +12,7 @@
     RawRecord { offset, time_ms: 0, body }
 }
 
-/// A log of `count` commands with a snapshot, taken at `taken`, at offset `at`.
+/// A log of `count` commands, and at offset `at` a snapshot of the state before offset `taken`.
 fn log(count: u64, taken: u64, at: u64) -> Vec<RawRecord> {
     let mut state = State::new();
     let mut snapshot = State::new();
@@ -34,7 +34,7 @@
     records
 }
 
-fn straight(records: &[RawRecord]) -> State {
+fn replay(records: &[RawRecord]) -> State {
     let mut state = State::new();
     for record in records {
         apply(&mut state, record.offset, record.time_ms, &record.body);
@@ -51,39 +51,39 @@
 }
 
 #[test]
-fn without_its_oldest_records_and_a_snapshot_no_state_is_certain() {
+fn a_log_without_its_oldest_records_needs_a_snapshot() {
     let records = log(10, 20, 20);
     assert_eq!(boot(&records, 1), None);
-    assert_eq!(boot(&records, 0), Some(straight(&records)));
+    assert_eq!(boot(&records, 0), Some(replay(&records)));
 }
 
 #[test]
-fn a_snapshot_whose_successors_are_gone_is_of_no_use() {
-    // Taken after record 3, appended as record 8, when records 4 and 5 are already gone.
+fn a_snapshot_is_unusable_when_records_after_it_are_missing() {
+    // The snapshot has the state after record 3, and is appended as record 8 when records 4 and 5 are already gone.
     let records = log(10, 4, 8);
     assert_eq!(boot(&records, 6), None);
 }
 
 #[test]
-fn a_peers_state_serves_when_the_log_has_no_snapshot() {
+fn a_state_from_another_instance_replaces_a_snapshot() {
     let records = log(10, 20, 20);
     let mut boot = Boot::new(5);
-    boot.offer(straight(&records[..6]));
+    boot.offer(replay(&records[..6]));
     for record in &records[5..] {
         boot.push(record.clone());
     }
-    assert_eq!(boot.finish(), Some(straight(&records)));
+    assert_eq!(boot.finish(), Some(replay(&records)));
 }
 
 proptest! {
     #[test]
-    fn boot_reaches_the_state_of_the_whole_log_or_none(
+    fn boot_yields_the_state_of_the_whole_log_or_none(
         count in 1u64..30, taken in 1u64..30, late in 0u64..10, first in 0usize..30,
     ) {
         let records = log(count, taken, taken + late);
         let first = first.min(records.len());
         if let Some(state) = boot(&records, first) {
-            prop_assert_eq!(state, straight(&records));
+            prop_assert_eq!(state, replay(&records));
         }
     }
 }
--- a/crates/drumusher-log/tests/log/claim.rs
+++ b/crates/drumusher-log/tests/log/claim.rs
@@ -1,4 +1,4 @@
-//! The claim fold: at most one attempt at a key is ever told that it holds it.
+//! The claim index: at most one attempt at a key is ever told that it holds the key.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
     Record::Done { key: Key(key), attempt: Attempt(attempt), answer }
 }
 
-fn fold(records: &[Record]) -> Index {
+fn replay(records: &[Record]) -> Index {
     let mut index = Index::new(0);
     for (offset, record) in records.iter().enumerate() {
         let read = index.apply(offset as u64, offset as u64, &body(record));
@@ -34,41 +34,41 @@
 
 #[test]
 fn the_first_claim_wins() {
-    let index = fold(&[claim(1, 10), claim(1, 11)]);
+    let index = replay(&[claim(1, 10), claim(1, 11)]);
     assert_eq!(index.get(Key(1)).map(|claim| claim.attempt), Some(Attempt(10)));
 }
 
 #[test]
-fn only_the_claimant_releases() {
-    let index = fold(&[claim(1, 10), release(1, 11)]);
+fn only_the_claimant_can_release_a_claim() {
+    let index = replay(&[claim(1, 10), release(1, 11)]);
     assert!(index.get(Key(1)).is_some());
-    let index = fold(&[claim(1, 10), release(1, 10), claim(1, 11)]);
+    let index = replay(&[claim(1, 10), release(1, 10), claim(1, 11)]);
     assert_eq!(index.get(Key(1)).map(|claim| claim.attempt), Some(Attempt(11)));
 }
 
 #[test]
-fn what_ran_is_never_released() {
-    let index = fold(&[claim(1, 10), done(1, 10), release(1, 10), claim(1, 11)]);
+fn a_completed_claim_cannot_be_released() {
+    let index = replay(&[claim(1, 10), done(1, 10), release(1, 10), claim(1, 11)]);
     let claim = index.get(Key(1)).expect("the claim stays");
     assert_eq!(claim.attempt, Attempt(10));
     assert!(matches!(claim.status, Status::Done(_)));
 }
 
 #[test]
-fn claims_are_forgotten_after_the_retention() {
-    let mut index = fold(&[claim(1, 10), claim(2, 20), claim(3, 30)]);
+fn claims_expire_after_the_retention() {
+    let mut index = replay(&[claim(1, 10), claim(2, 20), claim(3, 30)]);
     index.forget_before(2);
     assert_eq!((index.len(), index.get(Key(3)).is_some()), (1, true));
 }
 
-/// One step of a claimant: appends take effect, are lost, are doubled; it pauses and goes on.
+/// A step of a claimant. Appends may be applied, lost or duplicated, and claimants may pause and resume.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A claimant appends its claim, perhaps again after a lost answer.
+    /// Appends the claim, perhaps again after its answer was lost.
     Claim(u8),
-    /// A claimant reads the whole log and acts on what it finds.
+    /// Reads the whole log, and runs the request if the claim won.
     Read(u8),
-    /// A claimant that was refused elsewhere gives its claim back, unless it handed over.
+    /// Releases the claim after a refusal elsewhere, unless the request already ran.
     GiveUp(u8),
 }
 
@@ -82,39 +82,39 @@
 }
 
 proptest! {
-    /// Four claimants of one key, in any interleaving of appends, repeats, reads and pauses: the
-    /// request is handed over at most once, and whoever gave up never hands over.
+    /// Four claimants of one key, in any interleaving of appends, duplicates, reads and pauses: the request is run
+    /// at most once, and never by a claimant that gave up.
     #[test]
-    fn a_key_is_handed_over_at_most_once(steps in steps()) {
+    fn a_claimed_request_runs_at_most_once(steps in steps()) {
         let mut log = Vec::new();
-        let mut handed_over = BTreeSet::new();
+        let mut started = BTreeSet::new();
         let mut gave_up: BTreeMap<u8, bool> = BTreeMap::new();
         for step in steps {
             match step {
-                Step::Claim(who) => {
+                Step::Claim(claimant) => {
                     // After a release the same attempt is never claimed again.
-                    if !gave_up.contains_key(&who) {
-                        log.push(claim(1, u128::from(who)));
+                    if !gave_up.contains_key(&claimant) {
+                        log.push(claim(1, u128::from(claimant)));
                     }
                 }
-                Step::Read(who) => {
-                    let own = claim(1, u128::from(who));
-                    if gave_up.contains_key(&who) || !log.contains(&own) {
+                Step::Read(claimant) => {
+                    let own = claim(1, u128::from(claimant));
+                    if gave_up.contains_key(&claimant) || !log.contains(&own) {
                         continue;
                     }
-                    let holder = fold(&log).get(Key(1)).map(|claim| claim.attempt);
-                    if holder == Some(Attempt(u128::from(who))) {
-                        handed_over.insert(who);
+                    let holder = replay(&log).get(Key(1)).map(|claim| claim.attempt);
+                    if holder == Some(Attempt(u128::from(claimant))) {
+                        started.insert(claimant);
                     }
                 }
-                Step::GiveUp(who) => {
-                    if !handed_over.contains(&who) && log.contains(&claim(1, u128::from(who))) {
-                        gave_up.insert(who, true);
-                        log.push(release(1, u128::from(who)));
+                Step::GiveUp(claimant) => {
+                    if !started.contains(&claimant) && log.contains(&claim(1, u128::from(claimant))) {
+                        gave_up.insert(claimant, true);
+                        log.push(release(1, u128::from(claimant)));
                     }
                 }
             }
         }
-        prop_assert!(handed_over.len() <= 1, "{handed_over:?}");
+        prop_assert!(started.len() <= 1, "{started:?}");
     }
 }
--- a/crates/drumusher-log/tests/log/main.rs
+++ b/crates/drumusher-log/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the folds.
+//! Tests of the state derived from the log.
 
 mod boot;
 mod claim;
--- a/crates/drumusher-log/tests/log/quarantine.rs
+++ b/crates/drumusher-log/tests/log/quarantine.rs
@@ -1,17 +1,17 @@
-//! What is known of requests that end backend servers.
+//! Quarantine of requests that crash backend servers.
 
-use drumusher_log::quarantine::{Crash, Digest, MOST, Record, Table, Verdict};
+use drumusher_log::quarantine::{Crash, Digest, MAX_RECORDS, Record, Table, Verdict};
 use rstest::rstest;
 
-fn end(start: &str, alone: bool, at_ms: u64) -> Crash<'static> {
+fn crash(start: &str, alone: bool, at_ms: u64) -> Crash<'static> {
     Crash { start: start.into(), alone, at_ms, workspace: "w", route: "r" }
 }
 
-/// A table in which a request was at ends of these starts, on trial or not.
+/// A table in which a request was running at crashes of these starts, on trial or not.
 fn table(digest: Digest, ends: &[(&str, bool)]) -> Table {
     let mut table = Table::new();
     for (start, alone) in ends {
-        table.record_crash(digest, end(start, *alone, 1_000));
+        table.record_crash(digest, crash(start, *alone, 1_000));
     }
     table
 }
@@ -24,7 +24,7 @@
 #[case(&[("a", false), ("b", false), ("c", false), ("d", false), ("e", false)], Verdict::Trial)]
 #[case(&[("a", false), ("b", false), ("c", true)], Verdict::Trial)]
 #[case(&[("a", false), ("b", false), ("c", true), ("d", true)], Verdict::Held)]
-fn what_was_beside_others_is_tried_and_what_was_alone_is_held(
+fn crashes_beside_others_lead_to_a_trial_and_crashes_on_trial_to_a_hold(
     #[case] ends: &[(&str, bool)],
     #[case] verdict: Verdict,
 ) {
@@ -32,20 +32,20 @@
     assert_eq!(table(Digest(1), ends).verdict(Digest(2)), Verdict::Free);
 }
 
-/// The store is told of a request that is cleared, also of one whose record it is not known to have: it may have been
-/// written and not read back. Where it was not told, the record came back, and the request was a suspect again at all
-/// instances although it had been answered.
+/// Clearing a request requires a write to the store even if the store is not known to have its record. Otherwise a
+/// record that was written but not read back yet returned, and the request was a suspect again at all instances
+/// although it had been answered.
 #[test]
-fn an_answer_clears_a_request() {
+fn clearing_a_request_reports_whether_it_was_known() {
     let mut table = table(Digest(1), &[("a", false), ("b", false), ("c", false)]);
     assert!(table.clear(Digest(1)), "the store is told");
     assert_eq!(table.verdict(Digest(1)), Verdict::Free);
     assert!(!table.clear(Digest(1)), "nothing is known of it any more");
 }
 
-/// Two instances that note different ends of one request, and read each other's record, know the same.
+/// Two instances that note different crashes of a request, and read each other's record, have the same record.
 #[test]
-fn what_two_wrote_is_joined() {
+fn records_of_two_instances_are_merged() {
     let of = |ends| table(Digest(1), ends);
     let (mut one, mut two) = (of(&[("a", false), ("b", false)]), of(&[("b", true), ("c", true)]));
     let (first, second) =
@@ -58,27 +58,27 @@
     }
 }
 
-/// A whole table of the store drops what it no longer has, and not what was never written there.
+/// A whole table of the store drops the records it no longer has, but not those that were never written there.
 #[test]
-fn what_is_not_written_yet_stays() {
+fn unwritten_records_survive_a_whole_table() {
     let mut table = table(Digest(1), &[("a", false)]);
     table.merge(Digest(2), Record::default());
-    table.only(&Default::default());
+    table.retain_listed(&Default::default());
     assert!(table.get(Digest(1)).is_some() && table.get(Digest(2)).is_none());
 }
 
-/// A workspace whose made-up requests are at the ends of backend servers by the thousand drives out its own, and
-/// neither another's nor what is held back.
+/// A workspace with thousands of forged requests that were running at crashes evicts only records of its own, and
+/// none of a request that is held back.
 #[test]
-fn a_flood_drives_out_nothing_that_matters() {
+fn a_flood_evicts_no_records_of_other_workspaces() {
     let mut table = table(Digest(1), &[("a", false), ("b", false), ("c", true), ("d", true)]);
-    let other = Crash { workspace: "other", ..end("a", false, 1) };
+    let other = Crash { workspace: "other", ..crash("a", false, 1) };
     table.record_crash(Digest(2), other);
     for number in 0..20_000 {
-        let end = Crash { workspace: "flood", ..end("a", false, 2_000 + number as u64) };
-        table.record_crash(Digest(100 + number), end);
+        let crash = Crash { workspace: "flood", ..crash("a", false, 2_000 + number as u64) };
+        table.record_crash(Digest(100 + number), crash);
     }
-    assert_eq!(table.len(), MOST);
+    assert_eq!(table.len(), MAX_RECORDS);
     assert_eq!(table.verdict(Digest(1)), Verdict::Held);
     assert!(table.get(Digest(2)).is_some());
 }
@@ -86,19 +86,19 @@
 #[rstest]
 #[case(&[("a", false)], 10 * 60_000)]
 #[case(&[("a", false), ("b", false), ("c", true), ("d", true)], 60 * 60_000)]
-fn a_record_is_over_some_time_after_its_latest_end(
-    #[case] ends: &[(&str, bool)],
-    #[case] kept: u64,
-) {
+fn a_record_expires_after_its_latest_crash(#[case] ends: &[(&str, bool)], #[case] kept: u64) {
     let table = table(Digest(1), ends);
-    assert_eq!(table.over(1_000 + kept), Vec::new());
-    assert_eq!(table.over(1_001 + kept), vec![Digest(1)]);
+    assert_eq!(table.expired(1_000 + kept), Vec::new());
+    assert_eq!(table.expired(1_001 + kept), vec![Digest(1)]);
 }
 
 #[rstest]
 #[case("000000000000000000000000000000ff", Some(Digest(255)))]
 #[case("ff", None)]
 #[case("+00000000000000000000000000000ff", None)]
-fn digests_are_read_as_they_are_shown(#[case] text: &str, #[case] digest: Option<Digest>) {
+fn a_digest_is_parsed_from_its_hexadecimal_form(
+    #[case] text: &str,
+    #[case] digest: Option<Digest>,
+) {
     assert_eq!(Digest::parse(text), digest);
 }
--- a/crates/drumusher-log/tests/log/support.rs
+++ b/crates/drumusher-log/tests/log/support.rs
@@ -1,10 +1,10 @@
-//! Helpers.
+//! Helpers shared by the tests.
 
 use std::collections::BTreeMap;
 
 use drumusher_log::config::{Change, Kind, Record, Value, Verb};
 
-/// The body of a command.
+/// The serialized record of a command.
 pub fn command(nonce: &str, change: Change) -> Vec<u8> {
     let record = Record::Command { nonce: nonce.into(), author: "desk".into(), change };
     serde_json::to_vec(&record).expect("records can be written")
--- a/crates/drumusher/src/process/catalog/quarantine.rs
+++ b/crates/drumusher/src/process/catalog/quarantine.rs
@@ -41,7 +41,7 @@
         let records = match news {
             News::Whole(_, records) => {
                 let there = records.iter().filter_map(|record| Digest::parse(&record.key));
-                table.only(&there.collect::<BTreeSet<Digest>>());
+                table.retain_listed(&there.collect::<BTreeSet<Digest>>());
                 records
             }
             News::Restored(_, records) => {
@@ -146,7 +146,7 @@
         }
         let over = {
             let mut table = catalog.shared.quarantine();
-            let over = table.over(clock::steady_unix_ms());
+            let over = table.expired(clock::steady_unix_ms());
             over.iter().for_each(|digest| table.remove(*digest));
             over
         };
