--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -1,32 +1,32 @@
-//! The peers thread: connections to other instances, and the asks this instance owns.
+//! The peers thread: connections to other instances, and the asks made by this instance.
 //!
-//! | module | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | `link` | makes connections, and sends over them |
-//! | `session` | a connection from its beginning to its end |
-//! | `messages` | what each message of another instance leads to |
-//! | `alive` | heartbeats, and what follows when another instance is silent |
-//! | `follows` | how far another instance has followed the store |
-//! | `store` | tells other instances what was read of the platform's store |
-//! | `pieces` | sends and takes in pieces what is long of it |
-//! | `fetch` | whom this instance asks for which piece |
-//! | `turns` | whose pieces are sent next |
-//! | `query` | operators' queries, asked of all instances and answered for others |
-
-mod alive;
+//! | `link` | opens connections and sends messages over them |
+//! | `session` | lifecycle of a connection |
+//! | `messages` | handles the messages of other instances |
+//! | `heartbeat` | heartbeats, and detection of unresponsive instances |
+//! | `replica` | how much of the store's tables another instance has |
+//! | `store` | relays what was read from the platform's store |
+//! | `pieces` | transfers large updates in pieces |
+//! | `fetch` | from which instance to request which piece |
+//! | `uploads` | which instances are sent pieces concurrently |
+//! | `query` | operators' queries, distributed to all instances and answered for others |
+
 mod fetch;
-mod follows;
+mod heartbeat;
 mod link;
 mod messages;
 mod pieces;
 mod query;
+mod replica;
 mod session;
 mod store;
-mod turns;
+mod uploads;
 
-pub use fetch::{Fetch, Peer, Piece, Request, Step};
-pub use follows::Follows;
-pub use turns::Turns;
+pub use fetch::{Fetch, PeerKind, Piece, Request, Step};
+pub use replica::Replica;
+pub use uploads::Uploads;
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, sync::Arc};
 
@@ -44,78 +44,77 @@
 use super::{Shared, broker, catalog::TABLES, dispatch, ring};
 use crate::operator::rows::Row;
 
-/// Time between two batches of reports.
-const REPORTS: Millis = Millis(50);
-/// Time between two looks for instances that are to be tried again; the shortest time between trials.
-const TRIAL_LOOK: Millis = Millis(400);
-/// Places in the ring of operators' queries.
-const RING: usize = 1_024;
-/// Places in the ring from the dispatch thread.
-const REPLIES: usize = 16_384;
-/// Most messages held for a connection that is being made.
-const PENDING: usize = 65_536;
-
-/// What the peers thread is told by operators' requests and the platform thread.
+/// Interval between batches of reports.
+const REPORT_INTERVAL: Millis = Millis(50);
+/// Interval between checks for unreachable instances to retry, and thereby the shortest time between attempts.
+const RETRY_CHECK_INTERVAL: Millis = Millis(400);
+/// Capacity of the channel of operators' queries.
+const QUERY_CAPACITY: usize = 1_024;
+/// Capacity of the channel from the dispatch thread.
+const REPLY_CAPACITY: usize = 16_384;
+/// Most messages held for a connection that is being opened.
+const MAX_PENDING: usize = 65_536;
+
+/// Input of the peers thread from operators' requests and the platform thread.
 pub enum Input {
-    /// Run a statement at all instances; each answers with its name and rows, or without rows if
-    /// it did not answer.
+    /// Runs a statement on all instances. Each yields its name and rows, or no rows if it did not answer.
     Gather(String, Answers),
-    /// Ask other instances for the configuration, because the log cannot be read.
+    /// Requests the configuration from other instances, because the log cannot be read.
     FetchConfiguration,
 }
 
-/// Where the answers to a statement go: an instance with its rows, or without if it gave none.
+/// Receives the answers to a statement: an instance and its rows, or none if it did not answer.
 pub type Answers = async_channel::Sender<(Arc<str>, Option<Vec<Row>>)>;
-/// The sending end of the peers ring.
+/// The sending end of the peers channel.
 pub type Sender = async_channel::Sender<Input>;
-/// The receiving end of the peers ring.
+/// The receiving end of the peers channel.
 pub type Receiver = async_channel::Receiver<Input>;
-/// The receiving end of the ring from the dispatch thread.
+/// The receiving end of the channel from the dispatch thread.
 pub type Replies = ring::TaskReceiver<(Entry, Message)>;
 
-/// The peers ring.
+/// Creates the peers channel.
 pub fn ring() -> (Sender, Receiver) {
-    async_channel::bounded(RING)
+    async_channel::bounded(QUERY_CAPACITY)
 }
 
-/// The ring from the dispatch thread.
+/// Creates the channel from the dispatch thread.
 pub fn replies() -> (dispatch::Replies, Replies) {
-    ring::to_task(REPLIES)
+    ring::to_task(REPLY_CAPACITY)
 }
 
-/// The receiving ends of the rings that end in the peers thread.
+/// The receiving ends of the channels into the peers thread.
 #[derive(Clone)]
 pub struct Rings {
-    /// From the requests.
+    /// From requests.
     pub broker: broker::Receiver,
     /// From operators' queries.
     pub peers: Receiver,
-    /// From the decisions.
+    /// From the dispatch thread.
     pub replies: Replies,
 }
 
-/// A connection that is up.
+/// An established connection.
 struct Conn {
     instance: Arc<str>,
     io: IoRef,
-    heard: u64,
-    /// The other's configuration offset was behind in the last heartbeat.
+    heard_at: u64,
+    /// Whether the other instance was behind in its last heartbeat.
     behind: bool,
-    /// How far the other has followed the store.
-    follows: Follows,
-    /// The updates whose pieces it is sent, by table.
+    /// How much of the store's tables the other instance has.
+    replica: Replica,
+    /// The updates whose pieces are being sent to the other instance, by table.
     sending: [Option<Rc<pieces::Encoded>>; TABLES.len()],
 }
 
-/// How to reach an instance.
+/// State of the connection to an instance.
 enum Link {
-    /// A connection is being made since a moment; what to send then.
+    /// A connection is being opened since this time; with the messages to send then.
     Connecting(Micros, Vec<Message>),
-    /// Over this connection.
+    /// Established, with the number of the connection.
     Up(u32),
 }
 
-/// What the tasks of the peers thread share.
+/// State shared by the tasks of the peers thread.
 struct Inner {
     table: broker::Table,
     links: HashMap<Arc<str>, Link>,
@@ -123,21 +122,21 @@
     next_conn: u32,
     gathers: HashMap<i64, query::Gather>,
     next_gather: i64,
-    /// By how much capacity is divided, as the decisions were told last.
-    divide: u32,
-    /// The instances that were asked to tell this one what they read of the store.
-    tellers: Vec<Arc<str>>,
-    /// The latest update that another instance was told.
-    update: Option<(store::Told, Vec<u8>)>,
-    /// The latest updates that were made to be fetched, by table.
-    latest: [pieces::Latest; TABLES.len()],
-    /// Who is sent pieces, and who waits for that.
-    turns: Turns<peer::PieceRequest>,
+    /// The divisor of this instance's capacity last sent to the dispatch thread.
+    capacity_divisor: u32,
+    /// The readers that this instance subscribed to.
+    sources: Vec<Arc<str>>,
+    /// The latest encoded update that was relayed, with what it was made from.
+    cached_state: Option<(store::UpdateKey, Vec<u8>)>,
+    /// The latest encoded updates to be fetched in pieces, by table.
+    cached_updates: [pieces::CachedUpdate; TABLES.len()],
+    /// The instances that are sent pieces, and the waiting requests.
+    uploads: Uploads<peer::PieceRequest>,
     /// What this instance fetches, by table.
     fetches: [Fetch; TABLES.len()],
 }
 
-/// The connections to other instances and the asks, as the tasks of the peers thread hold them.
+/// Handle of the peers thread's tasks to the connections and asks.
 #[derive(Clone)]
 pub struct Peers {
     shared: Arc<Shared>,
@@ -145,7 +144,7 @@
 }
 
 impl Peers {
-    /// Begins on the current thread, which has a runtime.
+    /// Starts the tasks on the current thread, which has a runtime.
     pub fn start(shared: Arc<Shared>, rings: Rings) -> Peers {
         let view = broker::View::new(shared.name.clone(), shared.area.clone())
             .with_capacity(shared.settings.capacity);
@@ -159,44 +158,44 @@
             next_conn: 1,
             gathers: HashMap::new(),
             next_gather: 1,
-            divide: 1,
-            tellers: Vec::new(),
-            update: None,
-            latest: Default::default(),
-            turns: Turns::new(),
+            capacity_divisor: 1,
+            sources: Vec::new(),
+            cached_state: None,
+            cached_updates: Default::default(),
+            uploads: Uploads::new(),
             fetches: Default::default(),
         };
         let peers = Peers { shared, inner: Rc::new(RefCell::new(inner)) };
-        rt::spawn(peers.clone().own_asks(rings.broker));
-        rt::spawn(peers.clone().replies(rings.replies));
-        rt::spawn(peers.clone().reports());
-        rt::spawn(peers.clone().watch());
-        rt::spawn(peers.clone().heartbeats());
-        rt::spawn(peers.clone().trials());
-        rt::spawn(peers.clone().queries(rings.peers));
+        rt::spawn(peers.clone().handle_inputs(rings.broker));
+        rt::spawn(peers.clone().forward_replies(rings.replies));
+        rt::spawn(peers.clone().send_reports());
+        rt::spawn(peers.clone().watch_unanswered());
+        rt::spawn(peers.clone().run_heartbeats());
+        rt::spawn(peers.clone().retry_unreachable());
+        rt::spawn(peers.clone().handle_queries(rings.peers));
         peers
     }
 
-    /// Takes what the own requests say, and changes of the directory.
-    async fn own_asks(self, receiver: broker::Receiver) {
+    /// Handles input from this instance's requests, and changes of the directory.
+    async fn handle_inputs(self, receiver: broker::Receiver) {
         while let Ok(input) = receiver.recv().await {
             let mut sends = Vec::new();
             if let broker::Input::Changed = input {
                 let directory = self.shared.directory.load_full();
                 self.inner.borrow_mut().table.adopt(directory, &mut sends);
-                self.keep_reader();
-                self.keep_dispatchers();
-                self.tell_all();
+                self.update_sources();
+                self.connect_dispatchers();
+                self.relay_to_subscribers();
             } else {
                 self.inner.borrow_mut().table.take(input, &mut sends);
             }
             self.send_all(sends);
-            self.divide();
+            self.update_capacity_divisor();
         }
     }
 
-    /// Hands the answers of the own dispatcher to the entries that asked.
-    async fn replies(self, receiver: Replies) {
+    /// Delivers the answers of this instance's dispatcher to the entries that asked.
+    async fn forward_replies(self, receiver: Replies) {
         while let Ok((entry, message)) = receiver.recv().await {
             if entry == dispatch::OWN {
                 let mut sends = Vec::new();
@@ -209,18 +208,18 @@
         }
     }
 
-    /// Sends the reports on running attempts in batches.
-    async fn reports(self) {
+    /// Sends reports on running attempts in batches.
+    async fn send_reports(self) {
         loop {
-            sleep(REPORTS).await;
+            sleep(REPORT_INTERVAL).await;
             let mut sends = Vec::new();
             self.inner.borrow_mut().table.reports(&mut sends);
             self.send_all(sends);
         }
     }
 
-    /// Tells the decisions something. Returns whether their ring had room for it.
-    fn dispatch(&self, input: dispatch::Input) -> bool {
+    /// Sends an input to the dispatch thread. Returns whether its queue had room.
+    fn try_dispatch(&self, input: dispatch::Input) -> bool {
         let taken = self.shared.dispatch.try_send(input).is_ok();
         if !taken {
             self.shared.telemetry.count("drumusher.ring.full", &[("ring", "dispatch")]);
@@ -228,21 +227,21 @@
         taken
     }
 
-    /// Tells the decisions by how much to divide capacity: by the instances of the area while none
-    /// of the others can be reached, else not.
-    fn divide(&self) {
+    /// Updates the divisor of this instance's capacity: the number of instances in the area while none of the
+    /// others can be reached, otherwise 1.
+    fn update_capacity_divisor(&self) {
         let (listed, alone) = self.inner.borrow().table.view().alone();
-        let divide = if alone { listed as u32 } else { 1 };
-        let before = std::mem::replace(&mut self.inner.borrow_mut().divide, divide);
-        if before == divide {
+        let divisor = if alone { listed as u32 } else { 1 };
+        let before = std::mem::replace(&mut self.inner.borrow_mut().capacity_divisor, divisor);
+        if before == divisor {
             return;
         }
         if alone {
             log::warn!(
-                "no other instance of the zone can be reached: deciding alone, with 1/{listed} of each window"
+                "no other instance of the zone is reachable: deciding alone, with 1/{listed} of each window"
             );
             self.shared.telemetry.count("drumusher.dispatch.alone", &[]);
         }
-        self.dispatch(dispatch::Input::Divide(divide));
+        self.try_dispatch(dispatch::Input::Divide(divisor));
     }
 }
--- a/crates/drumusher/src/process/peers/fetch.rs
+++ b/crates/drumusher/src/process/peers/fetch.rs
@@ -1,173 +1,179 @@
-//! Fetching what is long of a table from another instance, piece by piece. Without I/O.
+//! Fetching a large update of a table from another instance, piece by piece. Without I/O.
 //!
-//! The one that lags behind decides whom it asks, asks one at a time, and has one piece under way. So a
-//! version is carried about once to each instance, whoever else has it, and what came before a connection
-//! broke is kept: another instance that knows the same goes on where the first one stopped.
+//! The instance that is behind decides whom it asks, asks one instance at a time, and has one piece in flight. So
+//! each update is transferred once to each instance, however many others have it. When a connection breaks, the
+//! received pieces are kept: another instance with the same update continues where the first one stopped.
 
 use drumusher_log::position::Position;
 use drumusher_schedule::time::{MILLISECOND, Micros};
 
-/// An instance that asked for a piece asks again, perhaps another one, after this. Under a link of ten
-/// megabits a second a piece takes 13 ms, and one that waits for its turn among twenty waits for half
-/// a second.
-const STALLED: Micros = 1_000 * MILLISECOND;
-/// An instance asks another one than its teller when it lags behind for so long: two heartbeats, within
-/// which its teller has told it where it still can.
-const LAGS: Micros = 500 * MILLISECOND;
-/// What was fetched whole is not asked for again within this, in which it is put into force. Chosen, not
-/// measured: 87 instances had a version of 1 MB in force within a second of its sending, most on an eighth of
-/// a core.
-const TAKING: Micros = 2_000 * MILLISECOND;
-/// Longest update taken, in bytes as they are carried. A configuration has at most 4 MiB, before it is
-/// compressed.
-pub const LONGEST: usize = 16 * 1024 * 1024;
+/// An instance requests a piece again, perhaps from another instance, after this time. A piece takes 13 ms on a
+/// link of ten megabits a second, and a request that waits for its turn among twenty waits for half a second.
+const REQUEST_TIMEOUT: Micros = 1_000 * MILLISECOND;
+/// How long an instance has to be behind before it asks an instance that is not its source. Two heartbeat
+/// intervals, within which the source sends the update if it can.
+const OTHER_PEER_DELAY: Micros = 500 * MILLISECOND;
+/// An update that was fetched completely is not requested again within this time, in which it is put into force. 87
+/// instances had a version of 1 MB in force within a second of its sending, most on an eighth of a core.
+const APPLY_TIME: Micros = 2_000 * MILLISECOND;
+/// Longest accepted update, in bytes on the wire. A configuration has at most 4 MiB before it is compressed.
+pub const MAX_UPDATE_BYTES: usize = 16 * 1024 * 1024;
 
-/// What to ask for.
+/// A request for a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The connection on which to ask.
+    /// The connection to send it on.
     pub conn: u32,
     /// The position up to which the table is known here.
     pub known: Position,
-    /// Bytes that are here already.
+    /// Number of bytes already received.
     pub at: usize,
-    /// The digest of the whole to which they belong.
+    /// The digest of the update that these bytes belong to.
     pub digest: Option<i64>,
 }
 
-/// A piece that came.
+/// A received piece.
 #[derive(Clone, Copy, Debug)]
 pub struct Piece<'a> {
-    /// The digest of the whole.
+    /// The digest of the whole update.
     pub digest: i64,
-    /// Where it begins.
+    /// Its offset in the update, in bytes.
     pub at: usize,
-    /// How long the whole is.
+    /// Length of the whole update, in bytes.
     pub total: usize,
     /// The bytes.
     pub bytes: &'a [u8],
 }
 
-/// What a piece leads to.
+/// What to do after a piece.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step {
-    /// To ask for the next one.
+    /// Request the next piece.
     Next(Request),
-    /// The whole is there.
-    Whole(Vec<u8>),
-    /// Nothing: it does not continue what is here.
+    /// The update is complete.
+    Complete(Vec<u8>),
+    /// Nothing: the piece does not continue the transfer.
     None,
 }
 
-/// How another instance stands to this one.
+/// Relation of another instance to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
-    /// It was asked to tell this one.
-    Teller,
-    /// It happens to have a connection with it.
+pub enum PeerKind {
+    /// This instance is subscribed to it.
+    Source,
+    /// It merely has a connection with this instance.
     Other,
 }
 
-/// An update that is under way.
+/// An update that is being transferred.
 #[derive(Debug)]
-struct Active {
+struct Transfer {
     conn: u32,
     known: Position,
     digest: Option<i64>,
     bytes: Vec<u8>,
-    asked: Micros,
-    /// The connection on which the latest piece was asked for is gone.
-    lost: bool,
+    requested_at: Micros,
+    /// Whether the connection of the latest request was closed.
+    disconnected: bool,
 }
 
-/// What is fetched of one table.
+/// The transfers of one table.
 #[derive(Debug, Default)]
 pub struct Fetch {
-    active: Option<Active>,
+    transfer: Option<Transfer>,
     /// Since when another instance is known to be ahead of this position.
-    lags: Option<(Position, Micros)>,
-    /// The position beyond which an update was fetched whole, and when.
-    taking: Option<(Position, Micros)>,
+    behind_since: Option<(Position, Micros)>,
+    /// The position from which an update was fetched completely, and when.
+    applying: Option<(Position, Micros)>,
 }
 
 impl Fetch {
-    /// Nothing is fetched.
+    /// Nothing is being fetched.
     pub fn new() -> Self {
         Fetch::default()
     }
 
-    /// Another instance knows more than `known`, which is known here. Returns what to ask it for.
-    pub fn ahead(
+    /// Records that another instance knows more than `known`, the position known here. Returns what to request from
+    /// it.
+    pub fn peer_ahead(
         &mut self,
         now: Micros,
         known: Position,
         conn: u32,
-        peer: Peer,
+        peer: PeerKind,
     ) -> Option<Request> {
-        let since = match self.lags {
+        let since = match self.behind_since {
             Some((lagged, since)) if lagged == known => since,
             _ => {
-                self.lags = Some((known, now));
+                self.behind_since = Some((known, now));
                 now
             }
         };
-        if self.taking.is_some_and(|(taken, at)| taken == known && now < at + TAKING) {
+        if self.applying.is_some_and(|(taken, at)| taken == known && now < at + APPLY_TIME) {
             return None;
         }
-        let waits = |active: &Active| !active.lost && now < active.asked + STALLED;
-        if self.active.as_ref().is_some_and(|active| active.known == known && waits(active)) {
+        let waits = |transfer: &Transfer| {
+            !transfer.disconnected && now < transfer.requested_at + REQUEST_TIMEOUT
+        };
+        if self.transfer.as_ref().is_some_and(|transfer| transfer.known == known && waits(transfer))
+        {
             return None;
         }
-        if peer == Peer::Other && now < since + LAGS {
+        if peer == PeerKind::Other && now < since + OTHER_PEER_DELAY {
             return None;
         }
-        let kept = self.active.take().filter(|active| active.known == known);
+        let kept = self.transfer.take().filter(|transfer| transfer.known == known);
         let (digest, bytes) = kept.map_or((None, Vec::new()), |kept| (kept.digest, kept.bytes));
-        let active = Active { conn, known, digest, bytes, asked: now, lost: false };
-        let request = active.request();
-        self.active = Some(active);
+        let transfer =
+            Transfer { conn, known, digest, bytes, requested_at: now, disconnected: false };
+        let request = transfer.request();
+        self.transfer = Some(transfer);
         Some(request)
     }
 
-    /// A piece came on a connection.
-    pub fn piece(&mut self, now: Micros, conn: u32, piece: &Piece<'_>) -> Step {
-        let Some(active) = &mut self.active else {
+    /// Handles a piece received on a connection.
+    pub fn receive(&mut self, now: Micros, conn: u32, piece: &Piece<'_>) -> Step {
+        let Some(transfer) = &mut self.transfer else {
             return Step::None;
         };
-        // The other one may know more by now, or something else: then it begins anew.
-        if active.digest != Some(piece.digest) && piece.at == 0 && conn == active.conn {
-            active.digest = Some(piece.digest);
-            active.bytes.clear();
+        // The other instance may have a newer or different update by now: the transfer starts over.
+        if transfer.digest != Some(piece.digest) && piece.at == 0 && conn == transfer.conn {
+            transfer.digest = Some(piece.digest);
+            transfer.bytes.clear();
         }
-        let continues = active.digest == Some(piece.digest) && piece.at == active.bytes.len();
+        let continues = transfer.digest == Some(piece.digest) && piece.at == transfer.bytes.len();
         let end = piece.at + piece.bytes.len();
-        if !continues || piece.bytes.is_empty() || end > piece.total || piece.total > LONGEST {
+        if !continues
+            || piece.bytes.is_empty()
+            || end > piece.total
+            || piece.total > MAX_UPDATE_BYTES
+        {
             return Step::None;
         }
-        active.bytes.extend_from_slice(piece.bytes);
+        transfer.bytes.extend_from_slice(piece.bytes);
         if end < piece.total {
-            (active.conn, active.asked, active.lost) = (conn, now, false);
-            return Step::Next(active.request());
+            (transfer.conn, transfer.requested_at, transfer.disconnected) = (conn, now, false);
+            return Step::Next(transfer.request());
         }
-        self.taking = Some((active.known, now));
-        let whole = self.active.take();
-        Step::Whole(whole.map_or_else(Vec::new, |whole| whole.bytes))
+        self.applying = Some((transfer.known, now));
+        let whole = self.transfer.take();
+        Step::Complete(whole.map_or_else(Vec::new, |whole| whole.bytes))
     }
 
-    /// What was fetched whole is of no use: it may be asked for again.
-    pub fn refuse(&mut self) {
-        self.taking = None;
+    /// Records that a complete update was unusable, so that it may be requested again.
+    pub fn reject(&mut self) {
+        self.applying = None;
     }
 
-    /// A connection is gone.
-    pub fn gone(&mut self, conn: u32) {
-        if let Some(active) = self.active.as_mut().filter(|active| active.conn == conn) {
-            active.lost = true;
+    /// Records that a connection was closed.
+    pub fn connection_closed(&mut self, conn: u32) {
+        if let Some(transfer) = self.transfer.as_mut().filter(|transfer| transfer.conn == conn) {
+            transfer.disconnected = true;
         }
     }
 }
 
-impl Active {
+impl Transfer {
     fn request(&self) -> Request {
         Request { conn: self.conn, known: self.known, at: self.bytes.len(), digest: self.digest }
     }
--- a/crates/drumusher/src/process/peers/alive.rs
+++ b/crates/drumusher/src/process/peers/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and what follows when another instance is silent.
+//! Heartbeats, and handling of instances that do not respond.
 
 use std::sync::Arc;
 
@@ -12,46 +12,46 @@
 use super::{Link, Peers};
 use crate::{connection::Codec, process::clock, version::Pool};
 
-/// Time between two heartbeats on a connection.
-const HEARTBEAT: u64 = 250 * MILLISECOND;
-/// A connection on which nothing was heard for so long is dead.
-const SILENCE: u64 = 800 * MILLISECOND;
-/// An instance to which a connection is being made for longer does not answer. Half of [`SILENCE`], and
-/// above the time that a connection may take to come up.
-const CONNECTS_WITHIN: u64 = 400 * MILLISECOND;
-/// Most services to whose dispatchers a connection is kept before there is a request for them. Each
-/// costs two heartbeats of some 40 bytes in [`HEARTBEAT`].
-const KEPT_DISPATCHERS: usize = 8;
-/// Time between two looks for asks that are not answered.
-const WATCH: Millis = Millis(32);
-/// A look that comes so late shows that the own process was paused.
-const WATCH_PAUSED: u64 = 100 * MILLISECOND;
+/// Interval between heartbeats on a connection, in microseconds.
+const HEARTBEAT_INTERVAL: u64 = 250 * MILLISECOND;
+/// A connection on which nothing was received for this long counts as dead, in microseconds.
+const SILENCE_TIMEOUT: u64 = 800 * MILLISECOND;
+/// An instance to which a connection has been opening for longer does not respond, in microseconds. Half of
+/// [`SILENCE_TIMEOUT`], and more than a connection may take to be established.
+const CONNECT_TIMEOUT: u64 = 400 * MILLISECOND;
+/// Most services to whose dispatchers a connection is kept open before they have requests. Each costs two
+/// heartbeats of some 40 bytes per [`HEARTBEAT_INTERVAL`].
+const MAX_PRECONNECTED: usize = 8;
+/// Interval between checks for unanswered asks.
+const UNANSWERED_CHECK_INTERVAL: Millis = Millis(32);
+/// A check that is this late shows that this process was paused, in microseconds.
+const PAUSE_THRESHOLD: u64 = 100 * MILLISECOND;
 
 impl Peers {
-    /// Sends heartbeats and closes silent connections. After a pause of the own process nothing
-    /// was heard because nothing was listening, so all get another chance.
-    pub(super) async fn heartbeats(self) {
+    /// Sends heartbeats and closes silent connections. After a pause of this process nothing was received because
+    /// nothing was listening, so each connection gets another interval.
+    pub(super) async fn run_heartbeats(self) {
         let mut last = clock::now();
         let mut stopped = false;
         loop {
-            sleep(Millis((HEARTBEAT / MILLISECOND) as u32)).await;
+            sleep(Millis((HEARTBEAT_INTERVAL / MILLISECOND) as u32)).await;
             let now = clock::now();
-            let paused = now > last + SILENCE / 2;
+            let paused = now > last + SILENCE_TIMEOUT / 2;
             last = now;
             if self.shared.stopping() && !stopped {
                 stopped = true;
                 self.stop();
             }
-            self.heartbeat(now, paused);
-            self.keep_reader();
-            self.keep_dispatchers();
-            self.tell_lost(now);
-            self.next_turns();
+            self.send_heartbeats(now, paused);
+            self.update_sources();
+            self.connect_dispatchers();
+            self.publish_lost(now);
+            self.serve_waiting();
         }
     }
 
-    /// A heartbeat with what holds now.
-    pub(super) fn heartbeat_now(&self) -> Message {
+    /// A heartbeat with the current state.
+    pub(super) fn current_heartbeat(&self) -> Message {
         let confirmed = self.confirmed();
         Message::Heartbeat(peer::Heartbeat {
             offset: self.shared.position() as i64,
@@ -66,13 +66,13 @@
         })
     }
 
-    /// Keeps connections with the dispatchers of the services in force, so that the first requests after
-    /// a start or a change of the role need not wait for them.
-    pub(super) fn keep_dispatchers(&self) {
+    /// Opens connections to the dispatchers of the configured services, so that the first requests after a start or
+    /// a change of the role need not wait for them.
+    pub(super) fn connect_dispatchers(&self) {
         let Some(routing) = self.shared.routing.load_full() else {
             return;
         };
-        let services = routing.configuration.services.iter().take(KEPT_DISPATCHERS);
+        let services = routing.configuration.services.iter().take(MAX_PRECONNECTED);
         for service in services {
             let pool = Pool::Service(service.name.as_str().into());
             let dispatcher = self.inner.borrow().table.view().dispatcher(&pool, &self.shared.area);
@@ -80,23 +80,23 @@
                 continue;
             };
             if !self.inner.borrow().links.contains_key(&dispatcher) {
-                self.send(&dispatcher, self.heartbeat_now());
+                self.send(&dispatcher, self.current_heartbeat());
             }
         }
     }
 
-    fn heartbeat(&self, now: u64, paused: bool) {
-        let heartbeat = self.heartbeat_now();
+    fn send_heartbeats(&self, now: u64, paused: bool) {
+        let heartbeat = self.current_heartbeat();
         let mut inner = self.inner.borrow_mut();
         for conn in inner.conns.values_mut() {
             if paused {
-                conn.heard = now;
+                conn.heard_at = now;
             }
-            if now > conn.heard + SILENCE {
+            if now > conn.heard_at + SILENCE_TIMEOUT {
                 self.shared.telemetry.count("drumusher.peer.closed", &[("reason", "silent")]);
                 log::warn!(
                     instance = &*conn.instance, unsent = unsent(&conn.io);
-                    "a connection with another instance is silent"
+                    "closing a silent connection with another instance"
                 );
                 conn.io.terminate();
                 continue;
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Tells which instances have been out of reach for so long that they count as gone.
-    fn tell_lost(&self, now: u64) {
+    /// Publishes which instances have been unreachable for so long that they count as lost.
+    fn publish_lost(&self, now: u64) {
         let after = self.shared.settings.forget_ms * MILLISECOND;
         let lost = self.inner.borrow().table.view().lost(now, after);
         if **self.shared.lost.load() != lost {
@@ -120,17 +120,17 @@
         self.send_all(sends);
     }
 
-    /// Takes over the asks that another instance does not answer, and gives its connection up.
-    pub(super) async fn watch(self) {
+    /// Takes over the asks that another instance does not answer, and disconnects from it.
+    pub(super) async fn watch_unanswered(self) {
         let mut last = clock::now();
         loop {
-            sleep(WATCH).await;
+            sleep(UNANSWERED_CHECK_INTERVAL).await;
             let now = clock::now();
             let late = now - last;
-            let paused = late > WATCH_PAUSED;
+            let paused = late > PAUSE_THRESHOLD;
             last = now;
             if paused {
-                self.note_pause(late);
+                self.log_pause(late);
                 self.inner.borrow_mut().table.forgive();
                 continue;
             }
@@ -138,44 +138,43 @@
             let silent = self.inner.borrow_mut().table.silent(&mut sends);
             self.send_all(sends);
             for instance in silent {
-                self.give_up(&instance);
+                self.disconnect(&instance);
             }
         }
     }
 
-    /// Logs that the own process did not run for a while: what took long meanwhile is not the
-    /// fault of others.
-    fn note_pause(&self, lasted: u64) {
+    /// Logs that this process did not run for a while: delays in that time are not the fault of other instances.
+    fn log_pause(&self, lasted: u64) {
         self.shared.telemetry.count("drumusher.process.paused", &[]);
         log::warn!(lasted_ms = lasted / MILLISECOND; "the process did not run for a while");
     }
 
-    /// Closes the connection to an instance that does not answer; it is tried again later. One to which
-    /// a connection is being made may be on its way: where it counted as gone, many instances that start
-    /// at once took each dispatcher by turns for silent.
-    fn give_up(&self, instance: &Arc<str>) {
+    /// Closes the connection to an instance that does not answer asks; it is retried later. A connection that is
+    /// still opening is given time: when it counted as unreachable, many instances that started at once took each
+    /// dispatcher in turn for unresponsive.
+    fn disconnect(&self, instance: &Arc<str>) {
         let up = match self.inner.borrow().links.get(instance) {
             Some(Link::Up(number)) => Some(*number),
-            Some(Link::Connecting(since, _)) if clock::now() < since + CONNECTS_WITHIN => return,
+            Some(Link::Connecting(since, _)) if clock::now() < since + CONNECT_TIMEOUT => return,
             _ => None,
         };
-        log::warn!(instance = &**instance; "an instance does not answer asks");
+        log::warn!(instance = &**instance; "another instance does not answer asks");
         let Some(number) = up else {
-            self.unreachable(instance);
+            self.note_unreachable(instance);
             return;
         };
         if let Some(conn) = self.inner.borrow().conns.get(&number) {
             self.shared.telemetry.count("drumusher.peer.closed", &[("reason", "unanswered")]);
             log::warn!(
                 instance = &**instance, unsent = unsent(&conn.io);
-                "a connection is closed, since asks over it are not answered"
+                "closing a connection on which asks are not answered"
             );
             conn.io.terminate();
         }
     }
 }
 
-/// Bytes that wait to be sent over a connection.
+/// Number of bytes waiting to be sent over a connection.
 fn unsent(io: &IoRef) -> usize {
     io.with_write_buf(|buffer| buffer.len()).unwrap_or_default()
 }
--- a/crates/drumusher/src/process/peers/link.rs
+++ b/crates/drumusher/src/process/peers/link.rs
@@ -1,19 +1,19 @@
-//! Making connections, and sending over them.
+//! Opening connections, and sending over them.
 
 use std::{collections::hash_map, sync::Arc};
 
 use drumusher_wire::peer::{self, Message};
 use ntex::{rt, time::sleep};
 
-use super::{Link, PENDING, Peers, TRIAL_LOOK, messages::queue_full};
+use super::{Link, MAX_PENDING, Peers, RETRY_CHECK_INTERVAL, messages::queue_full};
 use crate::{
     connection::{self, Codec},
     process::{broker, clock, dispatch},
     version::Instance,
 };
 
-/// Instances that are asked for the configuration at once.
-const SOUGHT: usize = 3;
+/// Number of instances asked for the configuration at the same time.
+const MAX_ASKED: usize = 3;
 
 impl Peers {
     pub(super) fn send_all(&self, sends: Vec<broker::Send>) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Sends to an instance, over a new connection if there is none.
+    /// Sends a message to an instance, over a new connection if there is none.
     pub(super) fn send(&self, to: &Arc<str>, message: Message) {
         if *to == self.shared.name {
             self.send_own(message);
@@ -32,15 +32,16 @@
             hash_map::Entry::Occupied(mut link) => match link.get_mut() {
                 Link::Up(number) => Some(*number),
                 Link::Connecting(_, pending) => {
-                    if pending.len() < PENDING {
+                    if pending.len() < MAX_PENDING {
                         pending.push(message);
                     }
                     return;
                 }
             },
             hash_map::Entry::Vacant(vacant) => {
-                let only_ends = matches!(message, Message::Withdraw(_) | Message::Finish(_));
-                if only_ends {
+                let needs_no_connection =
+                    matches!(message, Message::Withdraw(_) | Message::Finish(_));
+                if needs_no_connection {
                     return;
                 }
                 vacant.insert(Link::Connecting(clock::now(), vec![message]));
@@ -58,7 +59,7 @@
             Message::Ask(ask) => Some(ask.id.clone()),
             _ => None,
         };
-        if self.dispatch(dispatch::Input::Message(dispatch::OWN, Box::new(message))) {
+        if self.try_dispatch(dispatch::Input::Message(dispatch::OWN, Box::new(message))) {
             return;
         }
         if let Some(id) = id {
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Sends over a connection, if it is still there. Reports that a slow connection cannot take
-    /// are dropped; the next ones say more.
+    /// Sends a message over a connection if it is still open. Progress reports are dropped while the connection is
+    /// congested; later ones supersede them.
     pub(super) fn send_on(&self, number: u32, message: Message) {
         let inner = self.inner.borrow();
         let Some(conn) = inner.conns.get(&number) else {
@@ -81,7 +82,7 @@
             return;
         }
         if let Err(error) = conn.io.encode(message, &Codec) {
-            log::error!("a message to {} cannot be written: {error}", conn.instance);
+            log::error!("cannot encode a message to {}: {error}", conn.instance);
         }
     }
 
@@ -90,10 +91,10 @@
             return;
         }
         self.inner.borrow_mut().links.remove(&to);
-        self.unreachable(&to);
+        self.note_unreachable(&to);
     }
 
-    /// Connects to a listed instance. Returns whether it is up.
+    /// Connects to a listed instance. Returns whether that succeeded.
     async fn try_connect(&self, to: &Arc<str>) -> bool {
         let address = {
             let directory = self.shared.directory.load();
@@ -110,20 +111,20 @@
                 true
             }
             Err(error) => {
-                log::debug!("no connection to {to}: {error}");
+                log::debug!("cannot connect to instance {to}: {error}");
                 false
             }
         }
     }
 
-    /// Asks a few other instances for the configuration, those of the own area first, and the seeds
-    /// if no instance is listed.
-    pub(super) fn seek(&self) {
+    /// Requests the configuration from a few other instances, those of this area first, or from the seeds if no
+    /// instance is listed.
+    pub(super) fn fetch_configuration(&self) {
         let directory = self.shared.directory.load_full();
         let others = directory.instances.values().filter(|other| other.name != self.shared.name);
         let mut others: Vec<&Instance> = others.collect();
         others.sort_by_key(|other| other.area != self.shared.area);
-        for other in others.iter().take(SOUGHT) {
+        for other in others.iter().take(MAX_ASKED) {
             self.send(
                 &other.name,
                 Message::StateRequest(peer::StateRequest::new(0, None, true, None)),
@@ -132,12 +133,12 @@
         if !others.is_empty() {
             return;
         }
-        for seed in self.shared.settings.seeds.iter().take(SOUGHT) {
-            rt::spawn(self.clone().seek_at(seed.to_string()));
+        for seed in self.shared.settings.seeds.iter().take(MAX_ASKED) {
+            rt::spawn(self.clone().fetch_configuration_from(seed.to_string()));
         }
     }
 
-    async fn seek_at(self, address: String) {
+    async fn fetch_configuration_from(self, address: String) {
         let secret = self.shared.settings.fleet_secret.as_bytes();
         let (name, area) = (&self.shared.name, &self.shared.area);
         let connected = connection::connect(&address, None, name, area, secret).await;
@@ -148,18 +149,18 @@
         }
     }
 
-    /// Tries to reach again the instances that could not be reached.
-    pub(super) async fn trials(self) {
+    /// Retries the connections to unreachable instances.
+    pub(super) async fn retry_unreachable(self) {
         loop {
-            sleep(TRIAL_LOOK).await;
+            sleep(RETRY_CHECK_INTERVAL).await;
             let due = self.inner.borrow_mut().table.trials();
             for instance in due {
-                rt::spawn(self.clone().trial(instance));
+                rt::spawn(self.clone().retry(instance));
             }
         }
     }
 
-    async fn trial(self, instance: Arc<str>) {
+    async fn retry(self, instance: Arc<str>) {
         self.try_connect(&instance).await;
     }
 }
--- a/crates/drumusher/src/process/peers/messages.rs
+++ b/crates/drumusher/src/process/peers/messages.rs
@@ -1,4 +1,4 @@
-//! What each message of another instance leads to.
+//! Handling of the messages of other instances.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -11,30 +11,30 @@
     version::Pool,
 };
 
-/// When to come back to an instance whose ring to the decisions is full, in microseconds.
-const QUEUE_FULL_AGAIN: i64 = SECOND as i64;
+/// Retry delay after a refusal because the dispatch queue is full, in microseconds.
+const QUEUE_FULL_RETRY_MICROS: i64 = SECOND as i64;
 
-/// The refusal of an ask that the decisions cannot take now.
+/// Refuses an ask that the dispatch queue has no room for.
 pub(super) fn queue_full(id: Vec<u8>) -> Message {
     let refusal = Refusal::QueueFull as i16;
-    Message::Refuse(peer::Refuse::new(id, refusal, QUEUE_FULL_AGAIN))
+    Message::Refuse(peer::Refuse::new(id, refusal, QUEUE_FULL_RETRY_MICROS))
 }
 
 impl Peers {
-    /// Takes a message that came on the connection `number`.
-    pub(super) fn received(&self, number: u32, instance: &Arc<str>, message: Message) {
+    /// Handles a message received on the connection `number`.
+    pub(super) fn on_message(&self, number: u32, instance: &Arc<str>, message: Message) {
         if let Some(conn) = self.inner.borrow_mut().conns.get_mut(&number) {
-            conn.heard = clock::now();
+            conn.heard_at = clock::now();
         }
         match message {
-            Message::Ask(ask) => self.asked(number, ask),
+            Message::Ask(ask) => self.on_ask(number, ask),
             Message::Withdraw(_)
             | Message::Progress(_)
             | Message::Finish(_)
             | Message::Crash(_)
             | Message::Notice(_) => {
                 let input = dispatch::Input::Message(Entry(number), Box::new(message));
-                self.dispatch(input);
+                self.try_dispatch(input);
             }
             Message::Grant(_)
             | Message::Refuse(_)
@@ -45,29 +45,29 @@
                 self.inner.borrow_mut().table.answer(instance, message, &mut sends);
                 self.send_all(sends);
             }
-            Message::Heartbeat(heartbeat) => self.heard(number, instance, &heartbeat),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(number, instance, &heartbeat),
             Message::Records(records) => {
                 let _ = self.shared.platform.try_send(platform::Input::Records(records));
             }
             Message::StateRequest(request) => {
-                self.tell(number, &request);
-                self.state_requested(number, request.offset);
+                self.on_subscribe(number, &request);
+                self.send_state(number, request.offset);
             }
             Message::State(state) => {
                 let input = platform::Input::State(instance.clone(), state.snapshot);
                 let _ = self.shared.platform.try_send(input);
             }
-            Message::PieceRequest(request) => self.piece_wanted(number, request),
-            Message::Piece(piece) => self.piece_came(number, instance, &piece),
-            Message::Query(query) => self.queried(number, query),
-            Message::Answer(answer) => self.answered(instance, &answer),
+            Message::PieceRequest(request) => self.on_piece_request(number, request),
+            Message::Piece(piece) => self.on_piece(number, instance, &piece),
+            Message::Query(query) => self.on_query(number, query),
+            Message::Answer(answer) => self.on_answer(instance, &answer),
             Message::Hello(_) | Message::Challenge(_) | Message::Proof(_) => {}
         }
     }
 
-    /// Another entry asks for a pool. An instance that does not believe to be its dispatcher
-    /// redirects, once.
-    fn asked(&self, number: u32, ask: peer::Ask) {
+    /// Handles an ask for a pool from another entry. If this instance does not consider itself the dispatcher, it
+    /// redirects the ask, once.
+    fn on_ask(&self, number: u32, ask: peer::Ask) {
         if let Some(owner) = self.other_owner(&ask) {
             let redirect = peer::Redirect::new(ask.id, owner.to_string());
             self.send_on(number, Message::Redirect(redirect));
@@ -75,13 +75,13 @@
         }
         let id = ask.id.clone();
         let input = dispatch::Input::Message(Entry(number), Box::new(Message::Ask(ask)));
-        if !self.dispatch(input) {
+        if !self.try_dispatch(input) {
             self.send_on(number, queue_full(id));
         }
     }
 
-    /// The dispatcher of an ask as seen from here, if it is another instance. An ask that was
-    /// redirected once, or that declares a running grant, is taken in any case.
+    /// The dispatcher of an ask as seen from here, if it is another instance. An ask that was already redirected,
+    /// or that declares a running grant, is accepted in any case.
     fn other_owner(&self, ask: &peer::Ask) -> Option<Arc<str>> {
         if ask.redirected == Some(true) || ask.server.is_some() {
             return None;
@@ -92,15 +92,15 @@
         (owner != self.shared.name).then_some(owner)
     }
 
-    /// A heartbeat: whether the other is leaving, and whether it lags behind in configuration for
-    /// longer than the log would explain.
-    fn heard(&self, number: u32, instance: &Arc<str>, heartbeat: &peer::Heartbeat) {
+    /// Handles a heartbeat: whether the other instance is leaving, and whether it has been behind in configuration
+    /// for longer than the log's delay explains.
+    fn on_heartbeat(&self, number: u32, instance: &Arc<str>, heartbeat: &peer::Heartbeat) {
         let mut sends = Vec::new();
         let behind = match self.shared.settings.store {
             Some(_) => self.is_behind(heartbeat),
             None => heartbeat.offset < self.shared.position() as i64,
         };
-        let before = {
+        let was_behind = {
             let mut inner = self.inner.borrow_mut();
             let leaving = heartbeat.leaving.unwrap_or(false);
             inner.table.leaves(instance, leaving, &mut sends);
@@ -109,17 +109,17 @@
         };
         self.send_all(sends);
         if let Some(entry) = &heartbeat.entry {
-            self.entry_wanted(instance, entry);
+            self.register_instance(instance, entry);
         }
         if self.shared.settings.store.is_some() {
-            self.store_heard(number, instance, heartbeat, behind, before);
-        } else if behind && before {
-            self.state_requested(number, heartbeat.offset);
+            self.on_store_heartbeat(number, instance, heartbeat, behind, was_behind);
+        } else if behind && was_behind {
+            self.send_state(number, heartbeat.offset);
         }
     }
 
-    /// Sends the records from `offset` on, or the whole state if they are no longer at hand.
-    fn state_requested(&self, number: u32, offset: i64) {
+    /// Sends the records from `offset` on, or the whole state if they are no longer available.
+    fn send_state(&self, number: u32, offset: i64) {
         if !self.shared.configured.load(Ordering::Acquire) || self.shared.settings.store.is_some() {
             return;
         }
--- a/crates/drumusher/src/process/peers/pieces.rs
+++ b/crates/drumusher/src/process/peers/pieces.rs
@@ -1,8 +1,8 @@
-//! Sending and taking what is long of the store's tables, in pieces.
+//! Sending and receiving large updates of the store's tables, in pieces.
 //!
-//! A message has to leave room for the heartbeats, asks and grants on its connection and on the links of
-//! both instances. One of a megabyte filled a link of ten megabits a second for 0.8 s: the connection
-//! counted as silent, was closed, and the next one began with the same message.
+//! A message has to leave room for the heartbeats, asks and grants on its connection and on the links of both
+//! instances. A message of a megabyte occupied a link of ten megabits a second for 0.8 s: the connection counted as
+//! silent, was closed, and the next one started with the same message.
 
 use std::{fmt, rc::Rc, sync::Arc};
 
@@ -14,20 +14,20 @@
 
 use super::{
     Peers,
-    fetch::{self, Peer, Request, Step},
+    fetch::{self, PeerKind, Request, Step},
 };
 use crate::process::{
     catalog::{Ends, TABLES, Update},
     clock, platform,
 };
 
-/// Bytes of a piece: 13 ms on a link of ten megabits a second, where an answer to an ask is waited for for
-/// 60 ms, and enough to use such a link up with one piece under way.
-pub(super) const PIECE: usize = 16 * 1024;
+/// Size of a piece in bytes. It takes 13 ms on a link of ten megabits a second, where an ask waits for its answer
+/// for 60 ms, and is large enough to saturate such a link with one piece in flight.
+pub(super) const PIECE_BYTES: usize = 16 * 1024;
 
-/// The place of the configuration among [`TABLES`].
-const CONFIGURATION_PLACE: usize = 0;
-const _: () = assert!(matches!(TABLES[CONFIGURATION_PLACE], Table::Configuration));
+/// The index of the configuration in [`TABLES`].
+const CONFIGURATION_INDEX: usize = 0;
+const _: () = assert!(matches!(TABLES[CONFIGURATION_INDEX], Table::Configuration));
 
 /// An update of one table, compressed.
 #[derive(Debug)]
@@ -36,59 +36,59 @@
     bytes: Vec<u8>,
 }
 
-/// What an update was made of: how far the other side knew the table, how far it was known here, and up to
-/// where ends of entries were confirmed.
-type Made = (Position, Position, Position);
+/// What an update was made from: the position known to the other side, the position known here, and the position up
+/// to which removals were confirmed.
+type UpdateKey = (Position, Position, Position);
 
-/// The latest update made of a table: where many instances lag behind, most of them know the same.
-pub(super) type Latest = Option<(Made, Rc<Encoded>)>;
+/// The latest update made of a table: when many instances are behind, most of them know the same position.
+pub(super) type CachedUpdate = Option<(UpdateKey, Rc<Encoded>)>;
 
 impl Encoded {
     fn new(update: &Update) -> Option<Encoded> {
         let text = match serde_json::to_vec(update) {
             Ok(text) => text,
             Err(error) => {
-                log::error!("the records of the store cannot be written: {error}");
+                log::error!("cannot serialize an update of the store's records: {error}");
                 return None;
             }
         };
         let bytes = block::compress_prepend_size(&text);
-        log::info!(text = text.len(), bytes = bytes.len(); "an update is ready to be fetched");
+        log::info!(text = text.len(), bytes = bytes.len(); "encoded a large update to be fetched");
         Some(Encoded { digest: xxh3_64(&bytes) as i64, bytes })
     }
 }
 
-/// Why an update that came whole cannot be read.
+/// Why a complete update cannot be decoded.
 #[derive(Debug)]
 enum Error {
-    /// It claims so many bytes, more than [`fetch::LONGEST`].
+    /// Its decompressed size is this many bytes, more than [`fetch::MAX_UPDATE_BYTES`].
     TooLong(usize),
-    /// It is not compressed as updates are.
+    /// It is not valid compressed data.
     Malformed(DecompressError),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::TooLong(length) => write!(f, "an update of {length} bytes is too long"),
-            Error::Malformed(reason) => write!(f, "an update cannot be read: {reason}"),
+            Error::TooLong(length) => write!(f, "an update of {length} bytes exceeds the limit"),
+            Error::Malformed(reason) => write!(f, "an update cannot be decompressed: {reason}"),
         }
     }
 }
 
-/// The text of an update that came whole. What it claims is bounded, so that no claim can reserve memory.
-fn decoded(bytes: &[u8]) -> Result<Vec<u8>, Error> {
+/// Decompresses a complete update. The claimed size is checked first, so that it cannot cause a large allocation.
+fn decode(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let (length, _) = block::uncompressed_size(bytes).map_err(Error::Malformed)?;
-    if length > fetch::LONGEST {
+    if length > fetch::MAX_UPDATE_BYTES {
         return Err(Error::TooLong(length));
     }
     block::decompress_size_prepended(bytes).map_err(Error::Malformed)
 }
 
 impl Peers {
-    /// Another instance tells how far it knows the tables, and which version of the configuration it has: asks it for
-    /// what is long there and not known here.
-    pub(super) fn fetch(
+    /// Compares the positions and the configuration version of another instance with this one's, and requests from
+    /// it what is missing here.
+    pub(super) fn request_updates(
         &self,
         number: u32,
         instance: &Arc<str>,
@@ -98,8 +98,8 @@
         let mut own = self.shared.records().ends();
         let ahead = |table: &usize| ends[*table] > own[*table];
         let mut ahead: Vec<usize> = (0..TABLES.len()).filter(ahead).collect();
-        // The copy from which the store came back may hold an older version at a later place.
-        let configuration = CONFIGURATION_PLACE;
+        // After a restore, a backup may hold an older version at a later position.
+        let configuration = CONFIGURATION_INDEX;
         if version > self.version() && !ahead.contains(&configuration) {
             own[configuration] = Position::default();
             ahead.push(configuration);
@@ -107,43 +107,43 @@
         let now = clock::now();
         let requests: Vec<(usize, Request)> = {
             let mut inner = self.inner.borrow_mut();
-            let told = inner.tellers.contains(instance) && !self.reads();
-            let peer = if told { Peer::Teller } else { Peer::Other };
-            let asked = ahead.into_iter().filter_map(|table| {
-                let request = inner.fetches[table].ahead(now, own[table], number, peer)?;
+            let subscribed = inner.sources.contains(instance) && !self.reads();
+            let peer = if subscribed { PeerKind::Source } else { PeerKind::Other };
+            let requests = ahead.into_iter().filter_map(|table| {
+                let request = inner.fetches[table].peer_ahead(now, own[table], number, peer)?;
                 Some((table, request))
             });
-            asked.collect()
+            requests.collect()
         };
         for (table, request) in requests {
-            self.ask_for(table, request);
+            self.request_piece(table, request);
         }
     }
 
-    fn ask_for(&self, table: usize, request: Request) {
+    fn request_piece(&self, table: usize, request: Request) {
         let (known, era) = (request.known.offset as i64, request.known.era as i64);
         let at = request.at as i64;
         let message = peer::PieceRequest::new(table as i16, known, at, request.digest, era);
         self.send_on(request.conn, Message::PieceRequest(message));
     }
 
-    /// Another instance asks for a piece.
-    pub(super) fn piece_wanted(&self, number: u32, request: peer::PieceRequest) {
+    /// Handles another instance's request for a piece.
+    pub(super) fn on_piece_request(&self, number: u32, request: peer::PieceRequest) {
         if self.shared.settings.store.is_none() {
             return;
         }
         let now = clock::now();
-        let request = self.inner.borrow_mut().turns.ask(now, number, request);
+        let request = self.inner.borrow_mut().uploads.request(now, number, request);
         if let Some(request) = request {
             self.send_piece(number, &request);
         }
-        self.next_turns();
+        self.serve_waiting();
     }
 
-    /// Answers the requests that waited for their turn, as far as there is room for them.
-    pub(super) fn next_turns(&self) {
+    /// Answers waiting requests as far as there are free slots.
+    pub(super) fn serve_waiting(&self) {
         loop {
-            let next = self.inner.borrow_mut().turns.next(clock::now());
+            let next = self.inner.borrow_mut().uploads.next(clock::now());
             let Some((number, request)) = next else { return };
             self.send_piece(number, &request);
         }
@@ -151,14 +151,15 @@
 
     fn send_piece(&self, number: u32, request: &peer::PieceRequest) {
         let table = usize::try_from(request.table).unwrap_or(usize::MAX);
-        let found = if table < TABLES.len() { self.found(number, table, request) } else { None };
-        let Some(encoded) = found else {
-            self.inner.borrow_mut().turns.end(number);
+        let update =
+            if table < TABLES.len() { self.update_for(number, table, request) } else { None };
+        let Some(encoded) = update else {
+            self.inner.borrow_mut().uploads.finish(number);
             return;
         };
         let continues = request.digest == Some(encoded.digest);
         let at = if continues { request.at.max(0) as usize } else { 0 }.min(encoded.bytes.len());
-        let end = (at + PIECE).min(encoded.bytes.len());
+        let end = (at + PIECE_BYTES).min(encoded.bytes.len());
         let total = encoded.bytes.len() as i64;
         let bytes = encoded.bytes[at..end].to_vec();
         let piece = peer::Piece::new(request.table, encoded.digest, at as i64, total, bytes);
@@ -166,7 +167,7 @@
             let mut inner = self.inner.borrow_mut();
             let whole = end == encoded.bytes.len();
             if whole {
-                inner.turns.end(number);
+                inner.uploads.finish(number);
             }
             if let Some(conn) = inner.conns.get_mut(&number) {
                 conn.sending[table] = (!whole).then_some(encoded);
@@ -175,9 +176,10 @@
         self.send_on(number, Message::Piece(piece));
     }
 
-    /// The update of which a piece is asked for: the one that is on its way to this instance, also when more
-    /// is known by now, since one that begins anew at each change may never end; else what it does not know.
-    fn found(
+    /// The update of which a piece is requested. A transfer in progress continues even if newer records are known
+    /// by now, since one that restarted at each change might never finish; otherwise the update is made from the
+    /// requested position.
+    fn update_for(
         &self,
         number: u32,
         table: usize,
@@ -191,50 +193,50 @@
         let known = Position::new(era, request.known.max(0) as u64);
         let end = self.shared.records().ends()[table];
         let confirmed = self.shared.confirmed();
-        let made: Made = (known, end, confirmed);
-        let latest = self.inner.borrow().latest[table].clone();
-        if let Some((_, encoded)) = latest.filter(|(of, _)| *of == made) {
+        let key: UpdateKey = (known, end, confirmed);
+        let latest = self.inner.borrow().cached_updates[table].clone();
+        if let Some((_, encoded)) = latest.filter(|(of, _)| *of == key) {
             return Some(encoded);
         }
         let update = self.shared.update_of(TABLES[table], known)?;
         let encoded = Rc::new(Encoded::new(&update)?);
-        self.inner.borrow_mut().latest[table] = Some((made, encoded.clone()));
+        self.inner.borrow_mut().cached_updates[table] = Some((key, encoded.clone()));
         Some(encoded)
     }
 
-    /// A piece came.
-    pub(super) fn piece_came(&self, number: u32, instance: &Arc<str>, piece: &peer::Piece) {
+    /// Handles a piece from another instance.
+    pub(super) fn on_piece(&self, number: u32, instance: &Arc<str>, piece: &peer::Piece) {
         let table = usize::try_from(piece.table).unwrap_or(usize::MAX);
         if table >= TABLES.len() {
             return;
         }
-        let came = fetch::Piece {
+        let received = fetch::Piece {
             digest: piece.digest,
             at: piece.at.max(0) as usize,
             total: piece.total.max(0) as usize,
             bytes: &piece.bytes,
         };
-        let step = self.inner.borrow_mut().fetches[table].piece(clock::now(), number, &came);
+        let step = self.inner.borrow_mut().fetches[table].receive(clock::now(), number, &received);
         match step {
-            Step::Next(request) => self.ask_for(table, request),
-            Step::Whole(bytes) => self.take_whole(table, instance, &bytes),
+            Step::Next(request) => self.request_piece(table, request),
+            Step::Complete(bytes) => self.apply_complete(table, instance, &bytes),
             Step::None => {}
         }
     }
 
-    fn take_whole(&self, table: usize, instance: &Arc<str>, bytes: &[u8]) {
-        let taken = match decoded(bytes) {
+    fn apply_complete(&self, table: usize, instance: &Arc<str>, bytes: &[u8]) {
+        let taken = match decode(bytes) {
             Ok(text) => {
-                log::info!(text = text.len(), bytes = bytes.len(); "an update was fetched");
+                log::info!(text = text.len(), bytes = bytes.len(); "fetched a large update");
                 let taken =
                     self.shared.platform.try_send(platform::Input::State(instance.clone(), text));
-                taken.map_err(|_| "too busy to take an update".to_string())
+                taken.map_err(|_| "platform queue full; an update was dropped".to_string())
             }
             Err(error) => Err(error.to_string()),
         };
         if let Err(reason) = taken {
-            log::warn!("{reason}; it is fetched again");
-            self.inner.borrow_mut().fetches[table].refuse();
+            log::warn!("{reason}; it will be fetched again");
+            self.inner.borrow_mut().fetches[table].reject();
         }
     }
 }
--- a/crates/drumusher/src/process/peers/query.rs
+++ b/crates/drumusher/src/process/peers/query.rs
@@ -1,4 +1,4 @@
-//! Operators' queries: asked of all instances, and answered for others.
+//! Operators' queries: distributed to all instances, and answered for others.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -11,21 +11,21 @@
 use super::{Answers, Input, Peers, Receiver};
 use crate::operator::{self, rows::Row};
 
-/// Longest time to wait for the others' answers.
-const LONGEST: Millis = Millis(1_500);
+/// Longest wait for the other instances' answers.
+const ANSWER_TIMEOUT: Millis = Millis(1_500);
 
-/// A query that others were asked.
+/// A query that was sent to other instances.
 pub(super) struct Gather {
-    open: BTreeSet<Arc<str>>,
+    unanswered: BTreeSet<Arc<str>>,
     reply: Answers,
 }
 
 impl Peers {
-    pub(super) async fn queries(self, receiver: Receiver) {
+    pub(super) async fn handle_queries(self, receiver: Receiver) {
         while let Ok(input) = receiver.recv().await {
             match input {
                 Input::Gather(statement, reply) => self.gather(statement, reply),
-                Input::FetchConfiguration => self.seek(),
+                Input::FetchConfiguration => self.fetch_configuration(),
             }
         }
     }
@@ -39,12 +39,12 @@
             let mut inner = self.inner.borrow_mut();
             let id = inner.next_gather;
             inner.next_gather += 1;
-            inner.gathers.insert(id, Gather { open: others.clone(), reply });
+            inner.gathers.insert(id, Gather { unanswered: others.clone(), reply });
             id
         };
         for other in others {
             if self.inner.borrow().table.view().is_absent(&other) {
-                self.settle(id, &other, None);
+                self.record_answer(id, &other, None);
             } else {
                 self.send(&other, Message::Query(peer::Query::new(id, statement.clone())));
             }
@@ -57,47 +57,47 @@
         let _ = reply.try_send((self.shared.name.clone(), Some(rows)));
     }
 
-    /// Gives up waiting for those that did not answer.
+    /// Ends a query after the time limit, without the missing answers.
     async fn end_gather(self, id: i64) {
-        sleep(LONGEST).await;
+        sleep(ANSWER_TIMEOUT).await;
         let gather = self.inner.borrow_mut().gathers.remove(&id);
         let Some(gather) = gather else {
             return;
         };
-        for instance in gather.open {
+        for instance in gather.unanswered {
             let _ = gather.reply.try_send((instance, None));
         }
     }
 
-    fn settle(&self, id: i64, instance: &Arc<str>, rows: Option<Vec<Row>>) {
+    fn record_answer(&self, id: i64, instance: &Arc<str>, rows: Option<Vec<Row>>) {
         let mut inner = self.inner.borrow_mut();
         let Some(gather) = inner.gathers.get_mut(&id) else {
             return;
         };
-        if !gather.open.remove(instance) {
+        if !gather.unanswered.remove(instance) {
             return;
         }
         let _ = gather.reply.try_send((instance.clone(), rows));
-        if gather.open.is_empty() {
+        if gather.unanswered.is_empty() {
             inner.gathers.remove(&id);
         }
     }
 
-    /// An instance cannot be reached: queries no longer wait for it.
-    pub(super) fn query_lost(&self, instance: &Arc<str>) {
+    /// Records that an instance cannot be reached, so that queries no longer wait for it.
+    pub(super) fn query_unreachable(&self, instance: &Arc<str>) {
         let ids: Vec<i64> = self.inner.borrow().gathers.keys().copied().collect();
         for id in ids {
-            self.settle(id, instance, None);
+            self.record_answer(id, instance, None);
         }
     }
 
-    pub(super) fn answered(&self, instance: &Arc<str>, answer: &peer::Answer) {
+    pub(super) fn on_answer(&self, instance: &Arc<str>, answer: &peer::Answer) {
         let rows = answer.lines.iter().filter_map(|line| serde_json::from_str(line).ok());
-        self.settle(answer.id, instance, Some(rows.collect()));
+        self.record_answer(answer.id, instance, Some(rows.collect()));
     }
 
-    /// Another instance asks for its operator.
-    pub(super) fn queried(&self, number: u32, query: peer::Query) {
+    /// Answers the query of another instance's operator.
+    pub(super) fn on_query(&self, number: u32, query: peer::Query) {
         rt::spawn(self.clone().answer_query(number, query));
     }
 
--- a/crates/drumusher/src/process/peers/session.rs
+++ b/crates/drumusher/src/process/peers/session.rs
@@ -1,11 +1,11 @@
-//! A connection with another instance from its beginning to its end.
+//! Lifecycle of a connection with another instance.
 
 use std::sync::Arc;
 
 use drumusher_schedule::ask::Entry;
 use ntex::io::Io;
 
-use super::{Conn, Follows, Link, Peers};
+use super::{Conn, Link, Peers, Replica};
 use crate::{
     connection::{self, Codec},
     process::{clock, dispatch},
@@ -19,29 +19,29 @@
             Ok(instance) => self.serve(io, instance).await,
             Err(error) => {
                 self.shared.telemetry.count("drumusher.peer.refused", &[]);
-                log::warn!("a connection from another instance was refused: {error}");
+                log::warn!("refused a connection from another instance: {error}");
             }
         }
     }
 
-    /// Reads a connection until it ends.
+    /// Reads messages from a connection until it ends.
     pub(super) async fn serve(self, io: Io, instance: Arc<str>) {
-        let number = self.enter(&io, &instance);
+        let number = self.register(&io, &instance);
         loop {
             match io.recv(&Codec).await {
-                Ok(Some(message)) => self.received(number, &instance, message),
+                Ok(Some(message)) => self.on_message(number, &instance, message),
                 Ok(None) => break,
                 Err(error) => {
-                    log::debug!("connection with {instance} broke: {error:?}");
+                    log::debug!("connection with {instance} failed: {error:?}");
                     break;
                 }
             }
         }
-        self.leave(number, &instance);
+        self.unregister(number, &instance);
     }
 
-    /// Enters a connection that is up and sends what waited for it. Returns its number.
-    fn enter(&self, io: &Io, instance: &Arc<str>) -> u32 {
+    /// Registers an established connection and sends the messages waiting for it. Returns its number.
+    fn register(&self, io: &Io, instance: &Arc<str>) -> u32 {
         let mut sends = Vec::new();
         let (number, pending) = {
             let mut inner = self.inner.borrow_mut();
@@ -50,9 +50,9 @@
             let conn = Conn {
                 instance: instance.clone(),
                 io: io.get_ref(),
-                heard: clock::now(),
+                heard_at: clock::now(),
                 behind: false,
-                follows: Follows::new(),
+                replica: Replica::new(),
                 sending: Default::default(),
             };
             inner.conns.insert(number, conn);
@@ -68,29 +68,30 @@
             self.send_on(number, message);
         }
         self.send_all(sends);
-        self.divide();
+        self.update_capacity_divisor();
         number
     }
 
-    /// A connection ended: its asks are dropped here, and the own ones are asked of the next.
-    fn leave(&self, number: u32, instance: &Arc<str>) {
+    /// Removes a closed connection: the asks received over it are dropped, and this instance's asks are repeated
+    /// over another connection if there is one.
+    fn unregister(&self, number: u32, instance: &Arc<str>) {
         let _ = self.shared.dispatch.try_send(dispatch::Input::Gone(Entry(number)));
         let other = {
             let mut inner = self.inner.borrow_mut();
             inner.conns.remove(&number);
-            inner.turns.end(number);
-            inner.fetches.iter_mut().for_each(|fetch| fetch.gone(number));
+            inner.uploads.finish(number);
+            inner.fetches.iter_mut().for_each(|fetch| fetch.connection_closed(number));
             let used = matches!(inner.links.get(instance), Some(Link::Up(up)) if *up == number);
             if !used {
                 return;
             }
             inner.links.remove(instance);
-            inner.tellers.retain(|teller| teller != instance);
+            inner.sources.retain(|source| source != instance);
             let mut others = inner.conns.iter();
             others.find(|(_, conn)| conn.instance == *instance).map(|(number, _)| *number)
         };
         let Some(other) = other else {
-            self.unreachable(instance);
+            self.note_unreachable(instance);
             return;
         };
         let mut sends = Vec::new();
@@ -102,14 +103,14 @@
         self.send_all(sends);
     }
 
-    /// Notes that an instance has no connection: its asks and queries go on without it.
-    pub(super) fn unreachable(&self, instance: &Arc<str>) {
+    /// Records that there is no connection to an instance: asks and queries continue without it.
+    pub(super) fn note_unreachable(&self, instance: &Arc<str>) {
         self.shared.telemetry.count("drumusher.peer.lost", &[]);
         log::warn!("instance {instance} cannot be reached");
         let mut sends = Vec::new();
         self.inner.borrow_mut().table.reachable(instance, false, &mut sends);
-        self.query_lost(instance);
+        self.query_unreachable(instance);
         self.send_all(sends);
-        self.divide();
+        self.update_capacity_divisor();
     }
 }
--- a/crates/drumusher/tests/unit/fetch.rs
+++ b/crates/drumusher/tests/unit/fetch.rs
@@ -1,12 +1,12 @@
 //! Fetching an update piece by piece.
 
-use drumusher::process::peers::{Fetch, Peer, Piece, Request, Step};
+use drumusher::process::peers::{Fetch, PeerKind, Piece, Request, Step};
 use drumusher_log::position::Position;
 use drumusher_schedule::time::{MILLISECOND, SECOND};
 use rstest::rstest;
 
 /// The instance that was asked to tell, and another one, by their connections.
-const TELLER: u32 = 1;
+const SOURCE: u32 = 1;
 const OTHER: u32 = 2;
 /// What is known here.
 const KNOWN: Position = Position { era: 1, offset: 7 };
@@ -23,17 +23,17 @@
 /// A fetch from the teller, of which the first two of six bytes came.
 fn begun() -> Fetch {
     let mut fetch = Fetch::new();
-    assert_eq!(fetch.ahead(0, KNOWN, TELLER, Peer::Teller), Some(request(TELLER, 0)));
-    let next = fetch.piece(0, TELLER, &piece(0, b"ab"));
-    assert_eq!(next, Step::Next(request(TELLER, 2)));
+    assert_eq!(fetch.peer_ahead(0, KNOWN, SOURCE, PeerKind::Source), Some(request(SOURCE, 0)));
+    let next = fetch.receive(0, SOURCE, &piece(0, b"ab"));
+    assert_eq!(next, Step::Next(request(SOURCE, 2)));
     fetch
 }
 
 #[test]
 fn pieces_make_a_whole() {
     let mut fetch = begun();
-    assert_eq!(fetch.piece(1, TELLER, &piece(2, b"cd")), Step::Next(request(TELLER, 4)));
-    assert_eq!(fetch.piece(2, TELLER, &piece(4, b"ef")), Step::Whole(b"abcdef".to_vec()));
+    assert_eq!(fetch.receive(1, SOURCE, &piece(2, b"cd")), Step::Next(request(SOURCE, 4)));
+    assert_eq!(fetch.receive(2, SOURCE, &piece(4, b"ef")), Step::Complete(b"abcdef".to_vec()));
 }
 
 /// While pieces come, nobody else is asked, however many others are ahead.
@@ -41,7 +41,7 @@
 fn one_is_asked_at_a_time() {
     let mut fetch = begun();
     for at in 1..10 {
-        assert_eq!(fetch.ahead(at * 99 * MILLISECOND, KNOWN, OTHER, Peer::Other), None);
+        assert_eq!(fetch.peer_ahead(at * 99 * MILLISECOND, KNOWN, OTHER, PeerKind::Other), None);
     }
 }
 
@@ -49,9 +49,9 @@
 #[test]
 fn others_wait_for_the_teller() {
     let mut fetch = Fetch::new();
-    assert_eq!(fetch.ahead(0, KNOWN, OTHER, Peer::Other), None);
-    assert_eq!(fetch.ahead(250 * MILLISECOND, KNOWN, OTHER, Peer::Other), None);
-    let asked = fetch.ahead(500 * MILLISECOND, KNOWN, OTHER, Peer::Other);
+    assert_eq!(fetch.peer_ahead(0, KNOWN, OTHER, PeerKind::Other), None);
+    assert_eq!(fetch.peer_ahead(250 * MILLISECOND, KNOWN, OTHER, PeerKind::Other), None);
+    let asked = fetch.peer_ahead(500 * MILLISECOND, KNOWN, OTHER, PeerKind::Other);
     assert_eq!(asked, Some(request(OTHER, 0)));
 }
 
@@ -59,14 +59,14 @@
 /// connection, goes on from there.
 #[rstest]
 #[case::another(OTHER)]
-#[case::the_same(TELLER)]
+#[case::the_same(SOURCE)]
 fn what_came_is_kept(#[case] next: u32) {
     let mut fetch = begun();
-    fetch.gone(TELLER);
-    let again = fetch.ahead(SECOND, KNOWN, next, Peer::Other);
+    fetch.connection_closed(SOURCE);
+    let again = fetch.peer_ahead(SECOND, KNOWN, next, PeerKind::Other);
     assert_eq!(again, Some(request(next, 2)));
     let other = Piece { digest: 9, at: 0, total: 6, bytes: b"xy" };
-    let begins = fetch.piece(SECOND, next, &other);
+    let begins = fetch.receive(SECOND, next, &other);
     let anew = Request { digest: Some(9), ..request(next, 2) };
     assert_eq!(begins, Step::Next(anew), "one that knows something else begins anew");
 }
@@ -75,8 +75,8 @@
 #[test]
 fn a_silent_instance_is_left() {
     let mut fetch = begun();
-    assert_eq!(fetch.ahead(900 * MILLISECOND, KNOWN, OTHER, Peer::Other), None);
-    let asked = fetch.ahead(1_500 * MILLISECOND, KNOWN, OTHER, Peer::Other);
+    assert_eq!(fetch.peer_ahead(900 * MILLISECOND, KNOWN, OTHER, PeerKind::Other), None);
+    let asked = fetch.peer_ahead(1_500 * MILLISECOND, KNOWN, OTHER, PeerKind::Other);
     assert_eq!(asked, Some(request(OTHER, 2)));
 }
 
@@ -91,8 +91,8 @@
 #[case(piece(2, b""))]
 fn what_does_not_continue_is_passed_over(#[case] other: Piece<'static>) {
     let mut fetch = begun();
-    assert_eq!(fetch.piece(1, TELLER, &other), Step::None);
-    assert_eq!(fetch.piece(1, TELLER, &piece(2, b"cd")), Step::Next(request(TELLER, 4)));
+    assert_eq!(fetch.receive(1, SOURCE, &other), Step::None);
+    assert_eq!(fetch.receive(1, SOURCE, &piece(2, b"cd")), Step::Next(request(SOURCE, 4)));
 }
 
 /// A whole update is put into force by another thread; it is not asked for again meanwhile, unless it could
@@ -101,12 +101,12 @@
 fn what_is_being_taken_is_not_asked_for() {
     let mut fetch = begun();
     let whole = Piece { at: 2, bytes: b"cdef", ..piece(0, b"") };
-    assert!(matches!(fetch.piece(0, TELLER, &whole), Step::Whole(_)));
-    assert_eq!(fetch.ahead(SECOND, KNOWN, TELLER, Peer::Teller), None);
-    let newer = fetch.ahead(SECOND, KNOWN.advance(1), TELLER, Peer::Teller);
+    assert!(matches!(fetch.receive(0, SOURCE, &whole), Step::Complete(_)));
+    assert_eq!(fetch.peer_ahead(SECOND, KNOWN, SOURCE, PeerKind::Source), None);
+    let newer = fetch.peer_ahead(SECOND, KNOWN.advance(1), SOURCE, PeerKind::Source);
     assert_eq!(newer.map(|request| request.known), Some(KNOWN.advance(1)));
     let mut refused = begun();
-    assert!(matches!(refused.piece(0, TELLER, &whole), Step::Whole(_)));
-    refused.refuse();
-    assert!(refused.ahead(SECOND, KNOWN, TELLER, Peer::Teller).is_some());
+    assert!(matches!(refused.receive(0, SOURCE, &whole), Step::Complete(_)));
+    refused.reject();
+    assert!(refused.peer_ahead(SECOND, KNOWN, SOURCE, PeerKind::Source).is_some());
 }
