--- a/crates/drumusher-log/src/quarantine.rs
+++ b/crates/drumusher-log/src/quarantine.rs
@@ -148,9 +148,9 @@
     }
 
     fn is_expired(&self, now_ms: u64) -> bool {
-        let kept =
+        let retention_ms =
             if self.verdict() == Verdict::Held { HOLD_DURATION_MS } else { SUSPECT_RETENTION_MS };
-        now_ms > self.latest_ms + kept
+        now_ms > self.latest_ms + retention_ms
     }
 
     /// Sort key for eviction: requests that are held back are evicted last, then those with more crashes, then
@@ -204,13 +204,13 @@
 
     /// Records a crash of a backend server while it ran the request. Returns whether it was new.
     pub fn record_crash(&mut self, digest: Digest, crash: Crash<'_>) -> bool {
-        let fresh = Record {
+        let new_record = Record {
             since_ms: crash.at_ms,
             workspace: crash.workspace.into(),
             route: crash.route.into(),
             ..Record::default()
         };
-        let record = self.records.entry(digest).or_insert(fresh);
+        let record = self.records.entry(digest).or_insert(new_record);
         let changed = record.add_crashes([(crash.start, crash.alone)]);
         if changed {
             record.latest_ms = record.latest_ms.max(crash.at_ms);
@@ -249,8 +249,8 @@
 
     /// Keeps only these requests, which are all that the store has, and those whose record was not written there
     /// yet.
-    pub fn retain_listed(&mut self, there: &BTreeSet<Digest>) {
-        self.records.retain(|digest, record| !record.stored || there.contains(digest));
+    pub fn retain_listed(&mut self, listed: &BTreeSet<Digest>) {
+        self.records.retain(|digest, record| !record.stored || listed.contains(digest));
     }
 
     /// Requests whose record has expired.
@@ -268,11 +268,11 @@
                 *counts.entry(record.workspace.as_str()).or_default() += 1;
             }
             let share = |record: &Record| counts[record.workspace.as_str()];
-            let least = self.records.iter().min_by_key(|(_, record)| {
+            let evicted = self.records.iter().min_by_key(|(_, record)| {
                 (std::cmp::Reverse(share(record)), record.eviction_rank())
             });
-            let Some(least) = least.map(|(digest, _)| *digest) else { return };
-            self.records.remove(&least);
+            let Some(evicted) = evicted.map(|(digest, _)| *digest) else { return };
+            self.records.remove(&evicted);
         }
     }
 }
--- a/crates/drumusher-log/tests/log/boot.rs
+++ b/crates/drumusher-log/tests/log/boot.rs
@@ -8,7 +8,7 @@
 
 use crate::support::{class, command};
 
-fn kept(offset: u64, body: Vec<u8>) -> RawRecord {
+fn raw(offset: u64, body: Vec<u8>) -> RawRecord {
     RawRecord { offset, time_ms: 0, body }
 }
 
@@ -29,7 +29,7 @@
         if state.next == taken {
             snapshot = state.clone();
         }
-        records.push(kept(offset, body));
+        records.push(raw(offset, body));
     }
     records
 }
--- a/crates/drumusher-log/tests/log/quarantine.rs
+++ b/crates/drumusher-log/tests/log/quarantine.rs
@@ -86,10 +86,13 @@
 #[rstest]
 #[case(&[("a", false)], 10 * 60_000)]
 #[case(&[("a", false), ("b", false), ("c", true), ("d", true)], 60 * 60_000)]
-fn a_record_expires_after_its_latest_crash(#[case] ends: &[(&str, bool)], #[case] kept: u64) {
+fn a_record_expires_after_its_latest_crash(
+    #[case] ends: &[(&str, bool)],
+    #[case] retention_ms: u64,
+) {
     let table = table(Digest(1), ends);
-    assert_eq!(table.expired(1_000 + kept), Vec::new());
-    assert_eq!(table.expired(1_001 + kept), vec![Digest(1)]);
+    assert_eq!(table.expired(1_000 + retention_ms), Vec::new());
+    assert_eq!(table.expired(1_001 + retention_ms), vec![Digest(1)]);
 }
 
 #[rstest]
--- a/crates/drumusher/src/process/catalog.rs
+++ b/crates/drumusher/src/process/catalog.rs
@@ -10,7 +10,7 @@
 //!
 //! Calls to the store are expensive, and all instances would make the same ones. So a few instances, the first by
 //! rank, are readers: they poll the store and relay updates over the connections between instances. An instance
-//! that hears from no reader for [`poll::RELAY_TIMEOUT`] polls the store itself.
+//! that hears from no reader for `poll::RELAY_TIMEOUT` polls the store itself.
 
 mod apply;
 mod backoff;
@@ -173,12 +173,12 @@
 impl<S: Store + 'static> Catalog<S> {
     /// Completes the removals that are certain by now, from this instance's own reads or confirmed by others.
     fn remove_confirmed(&self) {
-        let gone = {
+        let removed = {
             let entries = &mut self.state.borrow_mut().entries;
             entries.confirm(self.shared.confirmed());
             entries.remove_confirmed(clock::now())
         };
-        self.publish_removals(&gone);
+        self.publish_removals(&removed);
         if self.state.borrow_mut().entries.accept_restored(clock::now()) {
             log::info!(
                 "servers whose entries had been removed before the store was restored are still registered"
@@ -191,18 +191,18 @@
     /// published, so that other instances receive the confirmation along with them.
     fn record_read(&self, table: Table, end: Position) {
         if table == Table::Servers {
-            let gone = self.state.borrow_mut().entries.record_read(end, clock::now());
-            self.publish_removals(&gone);
+            let removed = self.state.borrow_mut().entries.record_read(end, clock::now());
+            self.publish_removals(&removed);
         }
     }
 
     /// Publishes the confirmed position and, if entries were removed, the directory.
-    fn publish_removals(&self, gone: &[String]) {
+    fn publish_removals(&self, removed: &[String]) {
         let confirmed = self.state.borrow().entries.confirmed();
         self.shared.confirm(confirmed);
         self.shared.telemetry.gauge("drumusher.entries.confirmed", confirmed.offset);
-        if !gone.is_empty() {
-            log::info!(servers = gone.join(",").as_str(); "removed servers that are still missing after the store's return");
+        if !removed.is_empty() {
+            log::info!(servers = removed.join(",").as_str(); "removed servers that are still missing after the store's return");
             self.publish();
         }
     }
--- a/crates/drumusher/src/process/catalog/apply.rs
+++ b/crates/drumusher/src/process/catalog/apply.rs
@@ -154,7 +154,7 @@
     pub(super) fn reload_instances(&self) {
         let mut instances = self.state.borrow().unlisted(clock::now());
         for (key, value) in self.shared.records().keys(Table::Instances) {
-            match Instance::read(key, value) {
+            match Instance::parse(key, value) {
                 Ok(instance) => {
                     instances.insert(key.to_string(), instance);
                 }
--- a/crates/drumusher/src/process/catalog/engine_cache.rs
+++ b/crates/drumusher/src/process/catalog/engine_cache.rs
@@ -28,9 +28,9 @@
     let mut known: BTreeSet<Pool> = BTreeSet::new();
     loop {
         sleep(POLL_INTERVAL).await;
-        let led = catalog.shared.led.load_full();
-        known.retain(|pool| led.contains(pool));
-        for pool in led.iter() {
+        let dispatched = catalog.shared.led.load_full();
+        known.retain(|pool| dispatched.contains(pool));
+        for pool in dispatched.iter() {
             if known.insert(pool.clone()) && catalog.is_engine_pool(pool) {
                 catalog.query_engines(pool).await;
             }
--- a/crates/drumusher/src/process/catalog/entries.rs
+++ b/crates/drumusher/src/process/catalog/entries.rs
@@ -106,9 +106,9 @@
         self.removed.retain(|key| *key != server.id);
         self.restored.remove(&server.id);
         let pending = self.pending.remove(&server.id).is_some();
-        let same = self.servers.get(&server.id) == Some(&server);
+        let unchanged = self.servers.get(&server.id) == Some(&server);
         self.servers.insert(server.id.clone(), server);
-        pending || !same
+        pending || !unchanged
     }
 
     /// Inserts or updates an entry from a store that was restored from a backup and may lack the owner's latest
@@ -120,8 +120,9 @@
             return false;
         }
         let known = self.servers.get(&server.id);
-        let left = known.is_some_and(|known| known.leaving && known.born_ms == server.born_ms);
-        let leaving = server.leaving || left;
+        let was_leaving =
+            known.is_some_and(|known| known.leaving && known.born_ms == server.born_ms);
+        let leaving = server.leaving || was_leaving;
         self.put(Server { leaving, ..server })
     }
 
@@ -148,10 +149,10 @@
         self.removed.push_back(key.into());
     }
 
-    /// Removes the entries that are not in `there`, all keys of a table that was read whole up to `end`.
-    pub fn retain_listed(&mut self, there: &BTreeSet<String>, end: Position) {
+    /// Removes the entries that are not in `listed`, all keys of a table that was read whole up to `end`.
+    pub fn retain_listed(&mut self, listed: &BTreeSet<String>, end: Position) {
         let known = self.servers.keys().chain(self.restored.keys());
-        let missing: Vec<String> = known.filter(|key| !there.contains(*key)).cloned().collect();
+        let missing: Vec<String> = known.filter(|key| !listed.contains(*key)).cloned().collect();
         for key in missing {
             self.remove(&key, end);
         }
@@ -172,10 +173,10 @@
     /// Accepts the entries that had been removed before the store was restored from a backup and did not expire
     /// again. Returns whether there are any.
     pub fn accept_restored(&mut self, now: Micros) -> bool {
-        let alive = self.restored.extract_if(.., |_, (at, _)| now >= *at);
-        let alive: Vec<Server> = alive.map(|(_, (_, server))| server).collect();
-        let any = !alive.is_empty();
-        for server in alive {
+        let accepted = self.restored.extract_if(.., |_, (at, _)| now >= *at);
+        let accepted: Vec<Server> = accepted.map(|(_, (_, server))| server).collect();
+        let any = !accepted.is_empty();
+        for server in accepted {
             self.put(server);
         }
         any
--- a/crates/drumusher/src/process/catalog/membership.rs
+++ b/crates/drumusher/src/process/catalog/membership.rs
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// [`Error::Malformed`] with the reason.
-    pub(super) fn read(key: &str, value: &str) -> Result<Self, Error> {
+    pub(super) fn parse(key: &str, value: &str) -> Result<Self, Error> {
         let malformed = |what: &str| Error::Malformed(what.into());
         let read = serde_json::from_str(value);
         let instance: Instance = read.map_err(|error| malformed(&error.to_string()))?;
--- a/crates/drumusher/src/process/catalog/records.rs
+++ b/crates/drumusher/src/process/catalog/records.rs
@@ -19,7 +19,7 @@
 pub type Ends = [Position; TABLES.len()];
 
 /// A table's index in [`TABLES`].
-fn place(table: Table) -> usize {
+fn index_of(table: Table) -> usize {
     match table {
         Table::Configuration => 0,
         Table::Servers => 1,
@@ -76,7 +76,7 @@
     /// The position before which removals are confirmed. A version of the program before `confirmed` confirms
     /// either all of an update or nothing.
     pub fn confirmed(&self) -> Position {
-        let servers = self.parts.iter().find(|part| part.place == place(Table::Servers));
+        let servers = self.parts.iter().find(|part| part.place == index_of(Table::Servers));
         let whole = servers.filter(|_| !self.doubtful).map_or(Position::default(), Part::end);
         self.confirmed.map_or(whole, |offset| Position::new(self.confirmed_era, offset))
     }
@@ -125,12 +125,12 @@
 
     /// The position up to which each table is known.
     pub fn ends(&self) -> Ends {
-        std::array::from_fn(|at| self.logs[at].end)
+        std::array::from_fn(|index| self.logs[index].end)
     }
 
     /// The position up to which a table is known.
     pub fn end(&self, table: Table) -> Position {
-        self.logs[place(table)].end
+        self.logs[index_of(table)].end
     }
 
     /// Sum of all offsets, which rises with every record within an era.
@@ -141,7 +141,7 @@
     /// Replaces a whole table. The configuration of a restored store is not taken over, since it may be older than
     /// the known one; [`Records::put`] inserts a newer one.
     pub fn replace(&mut self, table: Table, records: Vec<Record>, end: Position) -> TableUpdate {
-        let log = &mut self.logs[place(table)];
+        let log = &mut self.logs[index_of(table)];
         let restored = !log.end.is_start() && log.end.era < end.era;
         log.recent.clear();
         log.recent_bytes = 0;
@@ -164,12 +164,12 @@
 
     /// Sets a value that is newer than the known one of its key, although it does not come after it in the log.
     pub fn put(&mut self, table: Table, key: &str, value: &str) {
-        self.logs[place(table)].newest.insert(key.into(), value.into());
+        self.logs[index_of(table)].newest.insert(key.into(), value.into());
     }
 
     /// Applies changes, the last of which ends at `end`.
     pub fn append(&mut self, table: Table, records: &[Record], end: Position) {
-        let log = &mut self.logs[place(table)];
+        let log = &mut self.logs[index_of(table)];
         log.end = end;
         for record in records {
             match &record.value {
@@ -185,31 +185,32 @@
 
     /// The keys of a table that have a value, with the value.
     pub fn keys(&self, table: Table) -> impl Iterator<Item = (&str, &str)> {
-        let newest = self.logs[place(table)].newest.iter();
+        let newest = self.logs[index_of(table)].newest.iter();
         newest.map(|(key, value)| (key.as_str(), value.as_str()))
     }
 
     /// The newest value of a key.
     pub fn value(&self, table: Table, key: &str) -> Option<&str> {
-        self.logs[place(table)].newest.get(key).map(String::as_str)
+        self.logs[index_of(table)].newest.get(key).map(String::as_str)
     }
 
     /// The update for an instance that knows the tables up to `ends`, with the tables whose part is shorter than
     /// `max_bytes`; `None` if there is none.
     pub fn since(&self, ends: &Ends, confirmed: Position, max_bytes: usize) -> Option<Update> {
         let logs = self.logs.iter().enumerate();
-        let short = logs.filter(|(at, log)| log.bytes_since(ends[*at]) < max_bytes);
-        let parts: Vec<Part> = short.filter_map(|(at, log)| log.since(at, ends[at])).collect();
+        let short = logs.filter(|(index, log)| log.bytes_since(ends[*index]) < max_bytes);
+        let parts: Vec<Part> =
+            short.filter_map(|(index, log)| log.since(index, ends[index])).collect();
         (!parts.is_empty()).then(|| self.update(confirmed, parts))
     }
 
     /// The update of one table for an instance that knows it up to `known`, or the whole table if that is the
     /// start; `None` if the instance is up to date.
     pub fn of_table(&self, table: Table, known: Position, confirmed: Position) -> Option<Update> {
-        let at = place(table);
-        let log = &self.logs[at];
+        let index = index_of(table);
+        let log = &self.logs[index];
         let whole = known.is_start() && !log.end.is_start();
-        let part = if whole { log.whole(at) } else { log.since(at, known)? };
+        let part = if whole { log.whole(index) } else { log.since(index, known)? };
         Some(self.update(confirmed, vec![part]))
     }
 
@@ -222,9 +223,13 @@
 
     /// The positions that an instance at `ends` reaches with the update of [`Records::since`].
     pub fn ends_after(&self, ends: &Ends, max_bytes: usize) -> Ends {
-        std::array::from_fn(|at| {
-            let log = &self.logs[at];
-            if log.bytes_since(ends[at]) < max_bytes { log.end.max(ends[at]) } else { ends[at] }
+        std::array::from_fn(|index| {
+            let log = &self.logs[index];
+            if log.bytes_since(ends[index]) < max_bytes {
+                log.end.max(ends[index])
+            } else {
+                ends[index]
+            }
         })
     }
 
--- a/crates/drumusher/src/process/catalog/restore.rs
+++ b/crates/drumusher/src/process/catalog/restore.rs
@@ -61,16 +61,17 @@
     /// register again, and are kept meanwhile.
     pub(super) fn reload_restored_instances(&self) {
         let until = clock::now() + REREGISTRATION_TIMEOUT;
-        let before = self.state.borrow().instances.clone();
-        self.state.borrow_mut().unlisted = Some((until, before));
+        let listed = self.state.borrow().instances.clone();
+        self.state.borrow_mut().unlisted = Some((until, listed));
         self.reload_instances();
     }
 
     /// Drops the instances that did not register again in time.
     pub(super) fn drop_expired_unlisted(&self) {
         let now = clock::now();
-        let over = self.state.borrow_mut().unlisted.take_if(|(until, _)| now >= *until).is_some();
-        if over {
+        let expired =
+            self.state.borrow_mut().unlisted.take_if(|(until, _)| now >= *until).is_some();
+        if expired {
             self.reload_instances();
             self.publish();
         }
--- a/crates/drumusher/src/process/peers/fetch.rs
+++ b/crates/drumusher/src/process/peers/fetch.rs
@@ -112,18 +112,22 @@
         if self.applying.is_some_and(|(taken, at)| taken == known && now < at + APPLY_TIME) {
             return None;
         }
-        let waits = |transfer: &Transfer| {
+        let is_pending = |transfer: &Transfer| {
             !transfer.disconnected && now < transfer.requested_at + REQUEST_TIMEOUT
         };
-        if self.transfer.as_ref().is_some_and(|transfer| transfer.known == known && waits(transfer))
+        if self
+            .transfer
+            .as_ref()
+            .is_some_and(|transfer| transfer.known == known && is_pending(transfer))
         {
             return None;
         }
         if peer == PeerKind::Other && now < since + OTHER_PEER_DELAY {
             return None;
         }
-        let kept = self.transfer.take().filter(|transfer| transfer.known == known);
-        let (digest, bytes) = kept.map_or((None, Vec::new()), |kept| (kept.digest, kept.bytes));
+        let previous = self.transfer.take().filter(|transfer| transfer.known == known);
+        let (digest, bytes) =
+            previous.map_or((None, Vec::new()), |previous| (previous.digest, previous.bytes));
         let transfer =
             Transfer { conn, known, digest, bytes, requested_at: now, disconnected: false };
         let request = transfer.request();
@@ -156,8 +160,8 @@
             return Step::Next(transfer.request());
         }
         self.applying = Some((transfer.known, now));
-        let whole = self.transfer.take();
-        Step::Complete(whole.map_or_else(Vec::new, |whole| whole.bytes))
+        let complete = self.transfer.take();
+        Step::Complete(complete.map_or_else(Vec::new, |complete| complete.bytes))
     }
 
     /// Records that a complete update was unusable, so that it may be requested again.
--- a/crates/drumusher/src/process/peers/link.rs
+++ b/crates/drumusher/src/process/peers/link.rs
@@ -25,7 +25,7 @@
     /// Sends a message to an instance, over a new connection if there is none.
     pub(super) fn send(&self, to: &Arc<str>, message: Message) {
         if *to == self.shared.name {
-            self.send_own(message);
+            self.send_to_self(message);
             return;
         }
         let up = match self.inner.borrow_mut().links.entry(to.clone()) {
@@ -54,7 +54,7 @@
         }
     }
 
-    fn send_own(&self, message: Message) {
+    fn send_to_self(&self, message: Message) {
         let id = match &message {
             Message::Ask(ask) => Some(ask.id.clone()),
             _ => None,
--- a/crates/drumusher/src/process/peers/messages.rs
+++ b/crates/drumusher/src/process/peers/messages.rs
@@ -68,8 +68,8 @@
     /// Handles an ask for a pool from another entry. If this instance does not consider itself the dispatcher, it
     /// redirects the ask, once.
     fn on_ask(&self, number: u32, ask: peer::Ask) {
-        if let Some(owner) = self.other_owner(&ask) {
-            let redirect = peer::Redirect::new(ask.id, owner.to_string());
+        if let Some(dispatcher) = self.other_dispatcher(&ask) {
+            let redirect = peer::Redirect::new(ask.id, dispatcher.to_string());
             self.send_on(number, Message::Redirect(redirect));
             return;
         }
@@ -82,14 +82,14 @@
 
     /// The dispatcher of an ask as seen from here, if it is another instance. An ask that was already redirected,
     /// or that declares a running grant, is accepted in any case.
-    fn other_owner(&self, ask: &peer::Ask) -> Option<Arc<str>> {
+    fn other_dispatcher(&self, ask: &peer::Ask) -> Option<Arc<str>> {
         if ask.redirected == Some(true) || ask.server.is_some() {
             return None;
         }
         let pool = Pool::parse(&ask.pool)?;
         let inner = self.inner.borrow();
-        let owner = inner.table.view().dispatcher(&pool, &self.shared.area)?;
-        (owner != self.shared.name).then_some(owner)
+        let dispatcher = inner.table.view().dispatcher(&pool, &self.shared.area)?;
+        (dispatcher != self.shared.name).then_some(dispatcher)
     }
 
     /// Handles a heartbeat: whether the other instance is leaving, and whether it has been behind in configuration
--- a/crates/drumusher/src/process/peers/pieces.rs
+++ b/crates/drumusher/src/process/peers/pieces.rs
@@ -165,12 +165,12 @@
         let piece = peer::Piece::new(request.table, encoded.digest, at as i64, total, bytes);
         {
             let mut inner = self.inner.borrow_mut();
-            let whole = end == encoded.bytes.len();
-            if whole {
+            let is_last = end == encoded.bytes.len();
+            if is_last {
                 inner.uploads.finish(number);
             }
             if let Some(conn) = inner.conns.get_mut(&number) {
-                conn.sending[table] = (!whole).then_some(encoded);
+                conn.sending[table] = (!is_last).then_some(encoded);
             }
         }
         self.send_on(number, Message::Piece(piece));
@@ -194,8 +194,8 @@
         let end = self.shared.records().ends()[table];
         let confirmed = self.shared.confirmed();
         let key: UpdateKey = (known, end, confirmed);
-        let latest = self.inner.borrow().cached_updates[table].clone();
-        if let Some((_, encoded)) = latest.filter(|(of, _)| *of == key) {
+        let cached = self.inner.borrow().cached_updates[table].clone();
+        if let Some((_, encoded)) = cached.filter(|(of, _)| *of == key) {
             return Some(encoded);
         }
         let update = self.shared.update_of(TABLES[table], known)?;
--- a/crates/drumusher/src/process/peers/query.rs
+++ b/crates/drumusher/src/process/peers/query.rs
@@ -31,7 +31,7 @@
     }
 
     fn gather(&self, statement: String, reply: Answers) {
-        rt::spawn(self.clone().own_rows(statement.clone(), reply.clone()));
+        rt::spawn(self.clone().local_rows(statement.clone(), reply.clone()));
         let directory = self.shared.directory.load_full();
         let others = directory.instances.keys().filter(|name| **name != self.shared.name);
         let others: BTreeSet<Arc<str>> = others.cloned().collect();
@@ -49,16 +49,16 @@
                 self.send(&other, Message::Query(peer::Query::new(id, statement.clone())));
             }
         }
-        rt::spawn(self.clone().end_gather(id));
+        rt::spawn(self.clone().expire_gather(id));
     }
 
-    async fn own_rows(self, statement: String, reply: Answers) {
+    async fn local_rows(self, statement: String, reply: Answers) {
         let rows = operator::local(&self.shared, &statement).await;
         let _ = reply.try_send((self.shared.name.clone(), Some(rows)));
     }
 
     /// Ends a query after the time limit, without the missing answers.
-    async fn end_gather(self, id: i64) {
+    async fn expire_gather(self, id: i64) {
         sleep(ANSWER_TIMEOUT).await;
         let gather = self.inner.borrow_mut().gathers.remove(&id);
         let Some(gather) = gather else {
