--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -172,7 +172,7 @@
             "time_ms": command.time_ms,
             "author": command.author,
             "verb": command.change.verb,
-            "kind": command.change.kind.word(),
+            "kind": command.change.kind.as_str(),
             "name": command.change.name,
             "fields": fields,
             "verdict": verdict,
@@ -188,10 +188,10 @@
     let rows = table.iter().map(|(digest, record)| {
         let on_trial = record.ends.iter().filter(|(_, alone)| **alone);
         row(json!({
-            "request": digest.text(),
+            "request": digest.to_hex(),
             "workspace": record.workspace,
             "route": record.route,
-            "verdict": record.verdict().word(),
+            "verdict": record.verdict().as_str(),
             "since_ms": record.since_ms,
             "latest_ms": record.latest_ms,
             "ended": record.ends.keys().collect::<Vec<_>>(),
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -1,6 +1,6 @@
 //! Requests that end backend servers: what entries tell of ends, who is tried, and who is held back.
 
-use drumusher_log::quarantine::{Digest, End, Verdict};
+use drumusher_log::quarantine::{Crash, Digest, Verdict};
 use drumusher_schedule::{
     ask::{Entry, Id, Outcome},
     order::Refusal,
@@ -119,7 +119,7 @@
         let host = Pool::parse(&crash.pool).and_then(|pool| self.hosts.get(&pool));
         let known = host.and_then(|host| host.trials.was_alone(id));
         let alone = known.unwrap_or(crash.alone == Some(true));
-        if self.shared.quarantine().note(digest, end(crash, alone)) {
+        if self.shared.quarantine().record_crash(digest, end(crash, alone)) {
             self.shared.telemetry.count("drumusher.quarantine.ends", &[]);
             self.log_suspect(digest, crash, alone);
             self.shared.note_held();
@@ -137,7 +137,7 @@
             Verdict::Held => "held back",
         };
         log::warn!(
-            digest = digest.text().as_str(), workspace = crash.workspace.as_str(),
+            digest = digest.to_hex().as_str(), workspace = crash.workspace.as_str(),
             route = crash.route.as_str(), server = crash.server.as_str(), alone = alone,
             ends = record.ends.len();
             "a request was there when a backend server ended, again: {what}"
@@ -148,7 +148,7 @@
         let told = self.shared.platform.try_send(platform::Input::Quarantine(vec![digest]));
         if told.is_err() {
             self.shared.telemetry.count("drumusher.ring.full", &[("ring", "platform")]);
-            log::warn!(digest = digest.text().as_str(); "too busy to write what is known of a request");
+            log::warn!(digest = digest.to_hex().as_str(); "too busy to write what is known of a request");
         }
     }
 }
@@ -161,8 +161,8 @@
 }
 
 /// What an entry tells as the end of a start of a backend server.
-fn end(crash: &peer::Crash, alone: bool) -> End<'_> {
-    End {
+fn end(crash: &peer::Crash, alone: bool) -> Crash<'_> {
+    Crash {
         start: format!("{}@{}", crash.server, crash.born.unwrap_or(0)),
         alone,
         at_ms: clock::steady_unix_ms(),
--- a/crates/drumusher/tests/unit/main.rs
+++ b/crates/drumusher/tests/unit/main.rs
@@ -1,7 +1,6 @@
 //! Tests of parts of the binary that need no process.
 
 mod answer;
-mod arrivals;
 mod askers;
 mod backoff;
 mod broker;
@@ -9,17 +8,18 @@
 mod catalog;
 mod directory;
 mod fetch;
-mod follows;
 mod host;
 mod notices;
 mod options;
 mod place;
 mod records;
+mod registrations;
 mod relay;
+mod replica;
 mod ring;
 mod routing;
 mod settings;
 mod story;
 mod summary;
 mod trials;
-mod turns;
+mod uploads;
