--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -28,7 +28,7 @@
 
 pub use askers::Askers;
 pub use budget::{Bound, Budget};
-pub use host::Host;
+pub use host::HostedPool;
 pub use trials::Trials;
 
 use std::{
@@ -128,7 +128,7 @@
 struct Dispatch {
     shared: Arc<Shared>,
     replies: Replies,
-    hosts: HashMap<Pool, Host>,
+    hosts: HashMap<Pool, HostedPool>,
     divide: Divisor,
     orders: Vec<Order>,
     unsent: VecDeque<(Entry, Message)>,
@@ -307,7 +307,7 @@
             return;
         }
         let policy = self.shared.version.load().policy.clone();
-        let host = Host::new(policy, clock::now(), bound(&self.shared.settings));
+        let host = HostedPool::new(policy, clock::now(), bound(&self.shared.settings));
         self.hosts.insert(pool.clone(), host);
         self.publish();
         self.refresh(pool);
--- a/crates/drumusher/src/process/dispatch/host.rs
+++ b/crates/drumusher/src/process/dispatch/host.rs
@@ -25,7 +25,7 @@
 }
 
 /// One pool with the names of its backend servers.
-pub struct Host {
+pub struct HostedPool {
     /// Its decisions.
     pub(super) pool: pool::Pool,
     /// Names of backend servers, by key.
@@ -57,10 +57,10 @@
     pub(super) used: u64,
 }
 
-impl Host {
+impl HostedPool {
     /// A pool without backend servers, with a bound on the repeats to them.
     pub fn new(policy: Arc<Policy>, now: u64, bound: Bound) -> Self {
-        Host {
+        HostedPool {
             pool: pool::Pool::new(policy, now),
             names: Vec::new(),
             known: HashMap::new(),
@@ -193,7 +193,7 @@
     }
 }
 
-impl Host {
+impl HostedPool {
     /// A backend server started again under its name: what it is from now on has a key of its own, of which
     /// nothing was learned, and the one before gets no new work.
     fn forget(&mut self, name: &Arc<str>) -> Option<Event> {
--- a/crates/drumusher/tests/unit/host.rs
+++ b/crates/drumusher/tests/unit/host.rs
@@ -14,7 +14,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use drumusher::{
-    process::dispatch::{Bound, Host},
+    process::dispatch::{Bound, HostedPool},
     version::Backend,
 };
 use drumusher_schedule::{event::Event, policy::Policy};
@@ -46,7 +46,7 @@
 #[test]
 fn windows_follow_the_configuration() {
     let bound = Bound { ratio: 0.2, slack: 1.0, window: 1 };
-    let mut host = Host::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
+    let mut host = HostedPool::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
     let backend = backend();
     let wanted = BTreeMap::from([(backend.name.clone(), &backend)]);
     assert_eq!(windows(&host.refresh("p", &wanted, true, 1)), [(16, true)]);
@@ -69,7 +69,7 @@
 #[test]
 fn a_server_that_starts_again_is_known_by_a_new_key() {
     let bound = Bound { ratio: 0.2, slack: 1.0, window: 1 };
-    let mut host = Host::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
+    let mut host = HostedPool::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
     let born = |born_ms| Backend { born_ms, ..backend() };
     let mut refresh = |backend: &Backend| {
         let wanted = BTreeMap::from([(backend.name.clone(), backend)]);
@@ -86,7 +86,7 @@
 #[test]
 fn a_limit_ends_with_the_entry_of_its_server() {
     let bound = Bound { ratio: 0.2, slack: 1.0, window: 1 };
-    let mut host = Host::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
+    let mut host = HostedPool::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
     let backend = backend();
     let wanted = BTreeMap::from([(backend.name.clone(), &backend)]);
     host.refresh("p", &wanted, true, 1);
