--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -26,7 +26,7 @@
 mod trials;
 mod wire;
 
-pub use askers::Askers;
+pub use askers::Requesters;
 pub use budget::{Bound, Budget};
 pub use host::HostedPool;
 pub use trials::Trials;
--- a/crates/drumusher/src/process/dispatch/askers.rs
+++ b/crates/drumusher/src/process/dispatch/askers.rs
@@ -20,15 +20,15 @@
 
 /// The other instances that ask for a pool.
 #[derive(Debug, Default)]
-pub struct Askers {
+pub struct Requesters {
     entries: BTreeSet<Entry>,
     latest: Micros,
 }
 
-impl Askers {
+impl Requesters {
     /// Nobody asked yet.
     pub fn new() -> Self {
-        Askers::default()
+        Requesters::default()
     }
 
     /// Another instance asked.
--- a/crates/drumusher/src/process/dispatch/host.rs
+++ b/crates/drumusher/src/process/dispatch/host.rs
@@ -13,7 +13,7 @@
     pool, rank, server,
 };
 
-use super::{Askers, Bound, Budget, Divisor, health, notices::Notices, trials::Trials};
+use super::{Requesters, Bound, Budget, Divisor, health, notices::Notices, trials::Trials};
 use crate::version::{Backend, Pool};
 
 /// What the decisions were told of a backend server.
@@ -42,7 +42,7 @@
     /// What backend servers said of themselves to callers' entries.
     pub(super) notices: Notices,
     /// The other instances that ask for it, by their connections.
-    pub(super) askers: Askers,
+    pub(super) askers: Requesters,
     /// The repeats that may be granted.
     pub(super) budget: Budget,
     /// The repeats for which a place in the budget is reserved until they are granted, with who asks.
@@ -67,7 +67,7 @@
             applied: BTreeMap::new(),
             own_word: BTreeMap::new(),
             notices: Notices::default(),
-            askers: Askers::new(),
+            askers: Requesters::new(),
             budget: Budget::new(bound),
             reserved: HashMap::new(),
             trials: Trials::default(),
--- a/crates/drumusher/tests/unit/askers.rs
+++ b/crates/drumusher/tests/unit/askers.rs
@@ -1,6 +1,6 @@
 //! Whether an instance dispatches a pool for others.
 
-use drumusher::process::dispatch::Askers;
+use drumusher::process::dispatch::Requesters;
 use drumusher_schedule::{ask::Entry, time::SECOND};
 use rstest::rstest;
 
@@ -16,14 +16,14 @@
     #[case] asking: u32,
     #[case] led: bool,
 ) {
-    let mut askers = Askers::new();
+    let mut askers = Requesters::new();
     (1..=asking).for_each(|number| askers.add(SECOND, Entry(number)));
     assert_eq!(askers.are_led(instances), led);
 }
 
 #[test]
 fn the_role_ends_when_nobody_asks_any_more() {
-    let mut askers = Askers::new();
+    let mut askers = Requesters::new();
     askers.add(SECOND, Entry(1));
     askers.expire(2 * SECOND);
     assert!(askers.are_led(3));
@@ -33,7 +33,7 @@
 
 #[test]
 fn those_that_are_gone_do_not_count() {
-    let mut askers = Askers::new();
+    let mut askers = Requesters::new();
     askers.add(SECOND, Entry(1));
     askers.remove(Entry(1));
     assert!(!askers.are_led(3));
