--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -295,7 +295,7 @@
     /// Tells the platform thread which pools are dispatched for others, if that changed.
     fn publish_led(&self) {
         let instances = self.shared.directory.load().instances.len();
-        let led = self.hosts.iter().filter(|(_, host)| host.askers.are_led(instances));
+        let led = self.hosts.iter().filter(|(_, host)| host.askers.serves_others(instances));
         let led: BTreeSet<Pool> = led.map(|(pool, _)| pool.clone()).collect();
         if **self.shared.led.load() != led {
             self.shared.led.store(Arc::new(led));
--- a/crates/drumusher/src/process/dispatch/askers.rs
+++ b/crates/drumusher/src/process/dispatch/askers.rs
@@ -52,7 +52,7 @@
 
     /// Whether the pool is dispatched for others, where so many instances are listed. The only instance
     /// dispatches for all there are.
-    pub fn are_led(&self, instances: usize) -> bool {
+    pub fn serves_others(&self, instances: usize) -> bool {
         let enough = if instances <= 1 { 0 } else { (instances / PART).max(1) };
         self.entries.len() >= enough
     }
--- a/crates/drumusher/tests/unit/askers.rs
+++ b/crates/drumusher/tests/unit/askers.rs
@@ -18,7 +18,7 @@
 ) {
     let mut askers = Requesters::new();
     (1..=asking).for_each(|number| askers.add(SECOND, Entry(number)));
-    assert_eq!(askers.are_led(instances), led);
+    assert_eq!(askers.serves_others(instances), led);
 }
 
 #[test]
@@ -26,9 +26,9 @@
     let mut askers = Requesters::new();
     askers.add(SECOND, Entry(1));
     askers.expire(2 * SECOND);
-    assert!(askers.are_led(3));
+    assert!(askers.serves_others(3));
     askers.expire(10 * SECOND);
-    assert!(!askers.are_led(3));
+    assert!(!askers.serves_others(3));
 }
 
 #[test]
@@ -36,5 +36,5 @@
     let mut askers = Requesters::new();
     askers.add(SECOND, Entry(1));
     askers.remove(Entry(1));
-    assert!(!askers.are_led(3));
+    assert!(!askers.serves_others(3));
 }
