--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -72,7 +72,7 @@
     /// A message of an entry.
     Message(Entry, Box<Message>),
     /// An entry is gone.
-    Gone(Entry),
+    Disconnected(Entry),
     /// Configuration or directory changed.
     Changed,
     /// A load report of a backend server.
@@ -154,7 +154,7 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::Message(entry, message) => self.message(entry, *message),
-            Input::Gone(entry) => self.gone(entry),
+            Input::Disconnected(entry) => self.gone(entry),
             Input::Changed => self.changed(),
             Input::Load { pool, server, report } => self.load(&pool, &server, report),
             Input::Kept { pool, server, parts } => self.kept(&pool, &server, parts),
--- a/crates/drumusher/src/process/peers/session.rs
+++ b/crates/drumusher/src/process/peers/session.rs
@@ -74,7 +74,7 @@
 
     /// A connection ended: its asks are dropped here, and the own ones are asked of the next.
     fn leave(&self, number: u32, instance: &Arc<str>) {
-        let _ = self.shared.dispatch.try_send(dispatch::Input::Gone(Entry(number)));
+        let _ = self.shared.dispatch.try_send(dispatch::Input::Disconnected(Entry(number)));
         let other = {
             let mut inner = self.inner.borrow_mut();
             inner.conns.remove(&number);
