--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -85,7 +85,7 @@
         report: Option<Report>,
     },
     /// What an engine says that it keeps.
-    Kept {
+    CachedParts {
         /// The pool.
         pool: Pool,
         /// The engine.
@@ -157,7 +157,7 @@
             Input::Disconnected(entry) => self.gone(entry),
             Input::Changed => self.changed(),
             Input::Load { pool, server, report } => self.load(&pool, &server, report),
-            Input::Kept { pool, server, parts } => self.kept(&pool, &server, parts),
+            Input::CachedParts { pool, server, parts } => self.kept(&pool, &server, parts),
             Input::Divide(divisor) => {
                 self.divide = divisor.max(1);
                 self.changed();
