--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -94,7 +94,7 @@
         parts: Vec<u64>,
     },
     /// The instances of the area among which capacity is divided while they cannot be reached.
-    Divide(Divisor),
+    SetDivisor(Divisor),
     /// Rows of a table for an operator.
     Rows(rows::Source, async_channel::Sender<Vec<Row>>),
 }
@@ -158,7 +158,7 @@
             Input::Changed => self.changed(),
             Input::Load { pool, server, report } => self.load(&pool, &server, report),
             Input::CachedParts { pool, server, parts } => self.kept(&pool, &server, parts),
-            Input::Divide(divisor) => {
+            Input::SetDivisor(divisor) => {
                 self.divide = divisor.max(1);
                 self.changed();
             }
--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -243,6 +243,6 @@
             );
             self.shared.telemetry.count("drumusher.dispatch.alone", &[]);
         }
-        self.dispatch(dispatch::Input::Divide(divide));
+        self.dispatch(dispatch::Input::SetDivisor(divide));
     }
 }
