--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -56,7 +56,7 @@
 };
 
 /// The instance's own entry; those of connections are their numbers, from 1.
-pub const OWN: Entry = Entry(0);
+pub const LOCAL_ENTRY: Entry = Entry(0);
 /// Places in the ring.
 const RING: usize = 65_536;
 /// How long a pool is kept that nobody asks for.
--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -7,7 +7,7 @@
 };
 use drumusher_wire::peer::{self, Message};
 
-use super::{Dispatch, OWN, SPENT_WHOLE, suspects::Admission, wire};
+use super::{Dispatch, LOCAL_ENTRY, SPENT_WHOLE, suspects::Admission, wire};
 use crate::{
     process::{broker::Attempt, clock},
     request::id,
@@ -109,7 +109,7 @@
 
     /// Notes which other instances ask for a pool.
     fn note_asker(&mut self, entry: Entry, pool: &Pool) {
-        if let Some(host) = self.hosts.get_mut(pool).filter(|_| entry != OWN) {
+        if let Some(host) = self.hosts.get_mut(pool).filter(|_| entry != LOCAL_ENTRY) {
             host.askers.add(clock::now(), entry);
         }
     }
--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -198,7 +198,7 @@
     /// Hands the answers of the own dispatcher to the entries that asked.
     async fn replies(self, receiver: Replies) {
         while let Ok((entry, message)) = receiver.recv().await {
-            if entry == dispatch::OWN {
+            if entry == dispatch::LOCAL_ENTRY {
                 let mut sends = Vec::new();
                 let name = self.shared.name.clone();
                 self.inner.borrow_mut().table.answer(&name, message, &mut sends);
--- a/crates/drumusher/src/process/peers/link.rs
+++ b/crates/drumusher/src/process/peers/link.rs
@@ -58,7 +58,7 @@
             Message::Ask(ask) => Some(ask.id.clone()),
             _ => None,
         };
-        if self.dispatch(dispatch::Input::Message(dispatch::OWN, Box::new(message))) {
+        if self.dispatch(dispatch::Input::Message(dispatch::LOCAL_ENTRY, Box::new(message))) {
             return;
         }
         if let Some(id) = id {
