--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub enum Input {
     /// It wants to run.
-    Open(Box<Own>),
+    Open(Box<DispatchRequest>),
     /// It no longer wants to, or ended: outcome as on the wire, and tokens delivered.
     Finish(Id, i16, u32),
     /// A report on its running attempt.
@@ -107,7 +107,7 @@
 
 /// An ask as its entry owns it.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct DispatchRequest {
     /// The request.
     pub id: Id,
     /// Its pool.
--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -10,7 +10,7 @@
 use drumusher_schedule::{ask::Id, time::Micros};
 use drumusher_wire::peer::{self, Message};
 
-use super::{Attempt, Crashes, Input, Loans, Own, Reply, Report, Send, View, wire};
+use super::{Attempt, Crashes, Input, Loans, DispatchRequest, Reply, Report, Send, View, wire};
 use crate::{
     process::{
         clock,
@@ -29,7 +29,7 @@
 
 /// An ask that is owned, and what became of it so far.
 struct Held {
-    own: Own,
+    own: DispatchRequest,
     /// The dispatcher that was asked; `None` if there is none to ask.
     dispatcher: Option<Arc<str>>,
     /// The backend server it was granted.
@@ -123,7 +123,7 @@
     }
 
     /// Owns an ask and sends it.
-    fn open(&mut self, own: Own, sends: &mut Vec<Send>) {
+    fn open(&mut self, own: DispatchRequest, sends: &mut Vec<Send>) {
         let id = own.id;
         let dispatcher = self.view.dispatcher(&own.pool, &own.area);
         let held = Held {
--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -6,7 +6,7 @@
 use drumusher_schedule::{ask::Part, time::Micros};
 use drumusher_wire::peer;
 
-use super::{Attempt, Grant, Offer, Own};
+use super::{Attempt, Grant, Offer, DispatchRequest};
 use crate::{
     process::{
         clock, counts,
@@ -17,7 +17,7 @@
 
 /// An ask for its dispatcher, with what that is told of the repeats of this entry, and with the backend server it was
 /// granted, if it runs already.
-pub(super) fn ask(own: &Own, server: Option<&str>, attempt: Attempt, offer: &Offer) -> peer::Ask {
+pub(super) fn ask(own: &DispatchRequest, server: Option<&str>, attempt: Attempt, offer: &Offer) -> peer::Ask {
     peer::Ask {
         id: id::to_wire(own.id),
         pool: own.pool.to_string(),
--- a/crates/drumusher/src/request/flow.rs
+++ b/crates/drumusher/src/request/flow.rs
@@ -17,7 +17,7 @@
     error::{Error, Kind, Ran},
     process::{
         Shared,
-        broker::{Attempt, CANCELLED, Grant, Input, Own, Reply, Report},
+        broker::{Attempt, CANCELLED, Grant, Input, DispatchRequest, Reply, Report},
         clock,
     },
     version::{Backend, Pool},
@@ -168,7 +168,7 @@
 
     fn ask(&mut self, area: Arc<str>) {
         while self.replies.try_recv().is_ok() {}
-        let own = Own {
+        let own = DispatchRequest {
             attempt: Attempt::First,
             digest: None,
             id: self.id,
--- a/crates/drumusher/src/routed/ticket.rs
+++ b/crates/drumusher/src/routed/ticket.rs
@@ -12,7 +12,7 @@
 use crate::{
     process::{
         Shared,
-        broker::{Attempt, CANCELLED, Grant, Input, Own, Reply, Report},
+        broker::{Attempt, CANCELLED, Grant, Input, DispatchRequest, Reply, Report},
         clock,
     },
     version::Pool,
@@ -113,9 +113,9 @@
         }
     }
 
-    fn own(&self, avoid: Option<Arc<str>>, attempt: Attempt) -> Own {
+    fn own(&self, avoid: Option<Arc<str>>, attempt: Attempt) -> DispatchRequest {
         let ask = &self.ask;
-        Own {
+        DispatchRequest {
             id: self.id,
             pool: ask.pool.clone(),
             area: self.shared.area.clone(),
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -4,7 +4,7 @@
 
 use drumusher::{
     process::{
-        broker::{Attempt, Input, Own, Reply, Report, Send, Table, View},
+        broker::{Attempt, Input, DispatchRequest, Reply, Report, Send, Table, View},
         clock,
         notices::{Answer, Basis, Notices},
     },
@@ -45,7 +45,7 @@
 
 fn open(table: &mut Table, id: u128) -> (Vec<Send>, async_channel::Receiver<Reply>) {
     let (replies, receiver) = async_channel::bounded(8);
-    let own = Own {
+    let own = DispatchRequest {
         attempt: Attempt::First,
         digest: None,
         id,
