--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -89,9 +89,9 @@
     #[default]
     First,
     /// It was asked for before, but not handed over.
-    Again,
+    Resent,
     /// It was handed over before: it counts as a repeat.
-    Repeat,
+    Retry,
 }
 
 impl Attempt {
@@ -99,8 +99,8 @@
     pub fn from_wire(number: i16) -> Self {
         match number {
             0 => Attempt::First,
-            1 => Attempt::Again,
-            _ => Attempt::Repeat,
+            1 => Attempt::Resent,
+            _ => Attempt::Retry,
         }
     }
 }
--- a/crates/drumusher/src/process/broker/table/answers.rs
+++ b/crates/drumusher/src/process/broker/table/answers.rs
@@ -60,7 +60,7 @@
             return;
         };
         let (pool, spent) = (held.own.pool.clone(), grant.spent.unwrap_or(0));
-        let repeat = held.own.attempt == Attempt::Repeat;
+        let repeat = held.own.attempt == Attempt::Retry;
         let grant = wire::grant(grant, from);
         held.server = Some(grant.server.clone());
         held.owed = None;
--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -93,8 +93,8 @@
         }
         match Attempt::from_wire(asked.attempt.unwrap_or(0)) {
             Attempt::First => host.budget.request(now, entry),
-            Attempt::Again => {}
-            Attempt::Repeat => return host.reserve_repeat(now, id, entry, instances),
+            Attempt::Resent => {}
+            Attempt::Retry => return host.reserve_repeat(now, id, entry, instances),
         }
         true
     }
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -41,7 +41,7 @@
         repeatable: !wire.unrepeatable.unwrap_or(false),
         preemptions: wire.preemptions.unwrap_or(0).clamp(0, 255) as u8,
         moved: wire.server.is_some()
-            || Attempt::from_wire(wire.attempt.unwrap_or(0)) == Attempt::Again,
+            || Attempt::from_wire(wire.attempt.unwrap_or(0)) == Attempt::Resent,
         avoid: avoid.and_then(|name| known.get(name).copied()),
         apart,
         output: wire.output.unwrap_or(0).max(0) as u32,
--- a/crates/drumusher/src/routed/exchange/grant.rs
+++ b/crates/drumusher/src/routed/exchange/grant.rs
@@ -36,8 +36,8 @@
         let asked = std::mem::replace(&mut self.asked, true);
         match (asked, self.sent) {
             (false, _) => Attempt::First,
-            (true, 0) => Attempt::Again,
-            (true, _) => Attempt::Repeat,
+            (true, 0) => Attempt::Resent,
+            (true, _) => Attempt::Retry,
         }
     }
 
