--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -14,7 +14,7 @@
 use drumusher_wire::peer::Message;
 
 pub use crash::{Crash, Crashes};
-pub use loan::{Loans, Offer};
+pub use loan::{Delegations, Offer};
 pub use table::Table;
 pub use view::View;
 
--- a/crates/drumusher/src/process/broker/loan.rs
+++ b/crates/drumusher/src/process/broker/loan.rs
@@ -24,7 +24,7 @@
 
 /// What is lent to the dispatcher of one pool.
 #[derive(Clone, Debug)]
-struct Loan {
+struct Delegation {
     to: Arc<str>,
     /// Whether that one knows what this instance sent.
     told: bool,
@@ -44,21 +44,21 @@
 
 /// What is lent, by pool.
 #[derive(Debug)]
-pub struct Loans {
-    loans: HashMap<Pool, Loan>,
+pub struct Delegations {
+    loans: HashMap<Pool, Delegation>,
     window: Micros,
 }
 
-impl Default for Loans {
+impl Default for Delegations {
     fn default() -> Self {
-        Loans { loans: HashMap::new(), window: WINDOW }
+        Delegations { loans: HashMap::new(), window: WINDOW }
     }
 }
 
-impl Loans {
+impl Delegations {
     /// Nothing is lent yet.
     pub fn new() -> Self {
-        Loans::default()
+        Delegations::default()
     }
 
     /// Sets for how long repeats count.
@@ -69,7 +69,7 @@
 
     /// Lends the part for a pool to the dispatcher `to`, with an ask that is the first one for its request or not.
     pub fn lend(&mut self, now: Micros, pool: &Pool, to: &Arc<str>, first: bool) -> Offer {
-        let loan = self.loans.entry(pool.clone()).or_insert_with(|| Loan {
+        let loan = self.loans.entry(pool.clone()).or_insert_with(|| Delegation {
             to: to.clone(),
             told: false,
             shares: HashMap::new(),
@@ -120,7 +120,7 @@
     }
 }
 
-impl Loan {
+impl Delegation {
     /// How much of the part others than the present dispatcher spent.
     fn spent_elsewhere(&self) -> i16 {
         let others = self.shares.iter().filter(|(name, _)| **name != self.to);
--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -10,7 +10,7 @@
 use drumusher_schedule::{ask::Id, time::Micros};
 use drumusher_wire::peer::{self, Message};
 
-use super::{Attempt, Crashes, Input, Loans, DispatchRequest, Reply, Report, Send, View, wire};
+use super::{Attempt, Crashes, Input, Delegations, DispatchRequest, Reply, Report, Send, View, wire};
 use crate::{
     process::{
         clock,
@@ -48,7 +48,7 @@
     /// The asks of which the next batch of reports tells.
     fresh: BTreeSet<Id>,
     /// To which dispatchers this instance lends its part of the repeats.
-    loans: Loans,
+    loans: Delegations,
     /// Backend servers that ended under requests of this instance lately.
     crashes: Crashes,
     /// What backend servers said of themselves to this instance.
@@ -62,7 +62,7 @@
         Table {
             held: HashMap::new(),
             fresh: BTreeSet::new(),
-            loans: Loans::new(),
+            loans: Delegations::new(),
             crashes: Crashes::default(),
             notices: Arc::default(),
             view,
--- a/crates/drumusher/tests/unit/budget.rs
+++ b/crates/drumusher/tests/unit/budget.rs
@@ -4,7 +4,7 @@
 
 use drumusher::{
     process::{
-        broker::Loans,
+        broker::Delegations,
         counts::Part,
         dispatch::{Bound, Budget},
     },
@@ -105,7 +105,7 @@
 /// Instances, what each lends to whom, and what all of them sent.
 struct Fleet {
     dispatchers: Vec<(Arc<str>, Budget)>,
-    loans: Vec<Loans>,
+    loans: Vec<Delegations>,
     now: Micros,
     requests: Vec<Micros>,
     repeats: Vec<Micros>,
@@ -120,7 +120,7 @@
             dispatchers: (0..dispatchers)
                 .map(|n| (format!("i{n}").into(), Budget::new(BOUND)))
                 .collect(),
-            loans: (0..instances).map(|_| Loans::new().with_window(BOUND.window)).collect(),
+            loans: (0..instances).map(|_| Delegations::new().with_window(BOUND.window)).collect(),
             now,
             requests: Vec::new(),
             repeats: Vec::new(),
