--- a/crates/drumusher/src/process/broker/loan.rs
+++ b/crates/drumusher/src/process/broker/loan.rs
@@ -68,7 +68,7 @@
     }
 
     /// Lends the part for a pool to the dispatcher `to`, with an ask that is the first one for its request or not.
-    pub fn lend(&mut self, now: Micros, pool: &Pool, to: &Arc<str>, first: bool) -> Offer {
+    pub fn delegate(&mut self, now: Micros, pool: &Pool, to: &Arc<str>, first: bool) -> Offer {
         let loan = self.loans.entry(pool.clone()).or_insert_with(|| Delegation {
             to: to.clone(),
             told: false,
--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -154,7 +154,7 @@
         let again = held.asked && held.own.attempt == Attempt::First;
         let attempt = if again { Attempt::Resent } else { held.own.attempt };
         let first = attempt == Attempt::First;
-        let offer = self.loans.lend(clock::now(), &held.own.pool, &to, first);
+        let offer = self.loans.delegate(clock::now(), &held.own.pool, &to, first);
         let Some(held) = self.held.get_mut(&id) else {
             return;
         };
--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -87,7 +87,7 @@
                 "an instance lends its repeats"
             );
         }
-        host.budget.lend(now, entry, spent);
+        host.budget.delegate(now, entry, spent);
         if let Some(sent) = &asked.sent {
             host.budget.bring(now, entry, sent.iter().map(wire::count));
         }
--- a/crates/drumusher/src/process/dispatch/budget.rs
+++ b/crates/drumusher/src/process/dispatch/budget.rs
@@ -91,7 +91,7 @@
     }
 
     /// An instance asks, of whose part `spent` of 1 is gone elsewhere.
-    pub fn lend(&mut self, now: Micros, entry: Entry, spent: f64) {
+    pub fn delegate(&mut self, now: Micros, entry: Entry, spent: f64) {
         let window = self.bound.window;
         let counts = || Counts::new(window);
         let fresh = || Account { asked: now, reserved: 0, spent: 0.0, counts: counts() };
--- a/crates/drumusher/tests/unit/budget.rs
+++ b/crates/drumusher/tests/unit/budget.rs
@@ -31,7 +31,7 @@
 #[test]
 fn repeats_are_a_share_of_the_requests_and_of_what_is_lent() {
     let mut budget = Budget::new(BOUND);
-    (1..=5).for_each(|entry| budget.lend(SECOND, Entry(entry), 0.0));
+    (1..=5).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.0));
     assert_eq!(left(&mut budget, SECOND, 5), 40, "four fifths of the slack");
     (0..50).for_each(|_| budget.request(2 * SECOND, Entry(1)));
     assert_eq!(left(&mut budget, 2 * SECOND, 5), 10, "and a fifth of the requests");
@@ -42,7 +42,7 @@
 #[test]
 fn what_hundreds_lend_serves_the_one_that_needs_it() {
     let mut budget = Budget::new(Bound { slack: 630.0, ..BOUND });
-    (0..295).for_each(|entry| budget.lend(SECOND, Entry(entry), 0.0));
+    (0..295).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.0));
     assert_eq!(left(&mut budget, SECOND, 295), 504);
 }
 
@@ -50,7 +50,7 @@
 #[test]
 fn a_part_of_the_fleet_has_its_part() {
     let mut budget = Budget::new(Bound { slack: 630.0, ..BOUND });
-    (0..98).for_each(|entry| budget.lend(SECOND, Entry(entry), 0.0));
+    (0..98).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.0));
     assert_eq!(left(&mut budget, SECOND, 295), 167);
 }
 
@@ -58,10 +58,10 @@
 #[test]
 fn what_was_spent_elsewhere_is_gone_for_a_window() {
     let mut budget = Budget::new(BOUND);
-    (1..=5).for_each(|entry| budget.lend(SECOND, Entry(entry), 0.75));
+    (1..=5).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.75));
     assert_eq!(left(&mut budget, SECOND, 5), 10);
     assert_eq!(budget.spent(SECOND, 5), 1.0);
-    (1..=5).for_each(|entry| budget.lend(12 * SECOND, Entry(entry), 0.0));
+    (1..=5).for_each(|entry| budget.delegate(12 * SECOND, Entry(entry), 0.0));
     assert_eq!(budget.spent(12 * SECOND, 5), 0.0);
     assert_eq!(left(&mut budget, 12 * SECOND, 5), 40);
 }
@@ -69,11 +69,11 @@
 #[test]
 fn what_is_older_than_the_window_does_not_count() {
     let mut budget = Budget::new(BOUND);
-    budget.lend(20 * SECOND, Entry(1), 0.0);
+    budget.delegate(20 * SECOND, Entry(1), 0.0);
     assert!(left(&mut budget, 20 * SECOND, 1) > 0);
-    budget.lend(29 * SECOND, Entry(1), 0.0);
+    budget.delegate(29 * SECOND, Entry(1), 0.0);
     assert!(!repeat(&mut budget, 29 * SECOND, Entry(1), 1));
-    budget.lend(31 * SECOND, Entry(1), 0.0);
+    budget.delegate(31 * SECOND, Entry(1), 0.0);
     assert!(repeat(&mut budget, 31 * SECOND, Entry(1), 1));
 }
 
@@ -83,11 +83,11 @@
 fn a_repeat_counts_to_the_end_of_its_window() {
     let mut budget = Budget::new(BOUND);
     let first = 10 * SECOND + 58 * MILLISECOND;
-    (1..=5).for_each(|entry| budget.lend(first, Entry(entry), 0.0));
+    (1..=5).for_each(|entry| budget.delegate(first, Entry(entry), 0.0));
     assert_eq!(left(&mut budget, first, 5), 40);
     for pause in [9_000, 9_499, 9_951, 9_999] {
         let now = first + pause * MILLISECOND;
-        (1..=5).for_each(|entry| budget.lend(now, Entry(entry), 0.0));
+        (1..=5).for_each(|entry| budget.delegate(now, Entry(entry), 0.0));
         assert_eq!(left(&mut budget, now, 5), 0, "after {pause} ms");
     }
 }
@@ -95,9 +95,9 @@
 #[test]
 fn those_that_stopped_asking_or_are_gone_lend_nothing() {
     let mut budget = Budget::new(BOUND);
-    budget.lend(20 * SECOND, Entry(1), 0.0);
+    budget.delegate(20 * SECOND, Entry(1), 0.0);
     assert_eq!(left(&mut budget, 23 * SECOND, 1), 0);
-    budget.lend(24 * SECOND, Entry(1), 0.0);
+    budget.delegate(24 * SECOND, Entry(1), 0.0);
     budget.remove(24 * SECOND, Entry(1), 1);
     assert_eq!(left(&mut budget, 24 * SECOND, 1), 0);
 }
@@ -139,9 +139,9 @@
         let (now, count) = (self.now, self.loans.len());
         let (name, budget) = &mut self.dispatchers[dispatcher];
         let pool = Pool::Service("s".into());
-        let offer = self.loans[instance].lend(now, &pool, name, !repeat);
+        let offer = self.loans[instance].delegate(now, &pool, name, !repeat);
         let entry = Entry(instance as u32);
-        budget.lend(now, entry, f64::from(offer.spent) / 1_000.0);
+        budget.delegate(now, entry, f64::from(offer.spent) / 1_000.0);
         if let Some(sent) = offer.sent {
             budget.bring(now, entry, sent);
         }
@@ -232,7 +232,7 @@
 #[test]
 fn what_an_instance_says_breaks_nothing() {
     let mut budget = Budget::new(BOUND);
-    budget.lend(SECOND, Entry(1), 0.0);
+    budget.delegate(SECOND, Entry(1), 0.0);
     let part = |age, repeats| Part { age, requests: u32::MAX, repeats };
     let parts = [part(u64::MAX, 1), part(0, u32::MAX), part(0, u32::MAX), part(0, u32::MAX)];
     budget.bring(SECOND, Entry(1), parts);
@@ -245,7 +245,7 @@
 #[test]
 fn what_one_that_is_gone_spent_stays_spent() {
     let mut budget = Budget::new(BOUND);
-    (1..=5).for_each(|entry| budget.lend(SECOND, Entry(entry), 0.0));
+    (1..=5).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.0));
     assert_eq!(left(&mut budget, SECOND, 5), 40, "all by the first one");
     budget.remove(SECOND, Entry(1), 5);
     assert_eq!(left(&mut budget, 2 * SECOND, 5), 0);
@@ -404,7 +404,7 @@
 #[test]
 fn who_asks_now_and_then_lends_its_part() {
     let mut budget = Budget::new(BOUND);
-    (1..=4).for_each(|entry| budget.lend(SECOND, Entry(entry), 0.0));
+    (1..=4).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.0));
     assert_eq!(budget.part(9 * SECOND, 8), 0.5);
     budget.remove(9 * SECOND, Entry(1), 8);
     assert_eq!(budget.part(9 * SECOND, 8), 0.375);
