--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -89,7 +89,7 @@
         }
         host.budget.delegate(now, entry, spent);
         if let Some(sent) = &asked.sent {
-            host.budget.bring(now, entry, sent.iter().map(wire::count));
+            host.budget.replace_counts(now, entry, sent.iter().map(wire::count));
         }
         match Attempt::from_wire(asked.attempt.unwrap_or(0)) {
             Attempt::First => host.budget.request(now, entry),
--- a/crates/drumusher/src/process/dispatch/budget.rs
+++ b/crates/drumusher/src/process/dispatch/budget.rs
@@ -105,7 +105,7 @@
     }
 
     /// Takes what an instance counted itself, in place of what is known of it.
-    pub fn bring(&mut self, now: Micros, entry: Entry, parts: impl IntoIterator<Item = Part>) {
+    pub fn replace_counts(&mut self, now: Micros, entry: Entry, parts: impl IntoIterator<Item = Part>) {
         let Some(account) = self.accounts.get_mut(&entry) else { return };
         account.counts = Counts::new(self.bound.window);
         parts.into_iter().for_each(|part| account.counts.bring(now, part));
--- a/crates/drumusher/tests/unit/budget.rs
+++ b/crates/drumusher/tests/unit/budget.rs
@@ -143,7 +143,7 @@
         let entry = Entry(instance as u32);
         budget.delegate(now, entry, f64::from(offer.spent) / 1_000.0);
         if let Some(sent) = offer.sent {
-            budget.bring(now, entry, sent);
+            budget.replace_counts(now, entry, sent);
         }
         if !repeat {
             budget.request(now, entry);
@@ -235,9 +235,9 @@
     budget.delegate(SECOND, Entry(1), 0.0);
     let part = |age, repeats| Part { age, requests: u32::MAX, repeats };
     let parts = [part(u64::MAX, 1), part(0, u32::MAX), part(0, u32::MAX), part(0, u32::MAX)];
-    budget.bring(SECOND, Entry(1), parts);
+    budget.replace_counts(SECOND, Entry(1), parts);
     assert_eq!(left(&mut budget, SECOND, 1), 0);
-    budget.bring(SECOND, Entry(1), [part(41, 5_000)]);
+    budget.replace_counts(SECOND, Entry(1), [part(41, 5_000)]);
     assert_eq!(left(&mut budget, SECOND, 1), 40);
 }
 
