--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -68,7 +68,7 @@
     /// Whether it is on trial there, apart from others.
     pub alone: bool,
     /// What its dispatcher knows of a limit of the backend server.
-    pub basis: notices::Basis,
+    pub known_limit: notices::KnownLimit,
 }
 
 /// What a request is told.
--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -10,7 +10,7 @@
 use crate::{
     process::{
         clock, counts,
-        notices::{Basis, Record},
+        notices::{KnownLimit, Record},
     },
     request::id,
 };
@@ -76,7 +76,7 @@
         expected: grant.expected.unwrap_or(0).max(0) as u64,
         dispatcher: from.clone(),
         alone: grant.alone == Some(true),
-        basis: Basis {
+        known_limit: KnownLimit {
             limited: grant.limited == Some(true),
             lifted: grant.lifted.map(|age| clock::now().saturating_sub(age.max(0) as u64)),
         },
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -14,7 +14,7 @@
 use crate::{
     process::{
         clock,
-        notices::{Basis, Limit},
+        notices::{KnownLimit, Limit},
     },
     version::Pool,
 };
@@ -66,9 +66,9 @@
     }
 
     /// What a grant of a backend server is based on.
-    pub(super) fn basis(&self, server: &str) -> Basis {
+    pub(super) fn known_limit(&self, server: &str) -> KnownLimit {
         let limit = self.known.get(server).map(|known| known.limit).unwrap_or_default();
-        Basis { limited: limit.rate().is_some(), lifted: limit.lifted() }
+        KnownLimit { limited: limit.rate().is_some(), lifted: limit.lifted() }
     }
 
     /// Whether the rates are to be looked at again.
--- a/crates/drumusher/src/process/dispatch/orders.rs
+++ b/crates/drumusher/src/process/dispatch/orders.rs
@@ -8,7 +8,7 @@
 
 use super::{Dispatch, SPENT_WHOLE, wire};
 use crate::{
-    process::{clock, notices::Basis},
+    process::{clock, notices::KnownLimit},
     request::id,
     version::Pool,
 };
@@ -38,14 +38,14 @@
     fn carry_out(&mut self, pool: &Pool, order: &Order, instances: usize) -> Option<(Entry, Id)> {
         let host = self.hosts.get_mut(pool)?;
         let now = clock::now();
-        let (mut alone, mut basis) = (None, Basis::default());
+        let (mut alone, mut known_limit) = (None, KnownLimit::default());
         match *order {
             Order::Grant { id, entry, .. } if !host.grant_repeat(now, id, instances) => {
                 return Some((entry, id));
             }
             Order::Grant { id, server, .. } => {
                 alone = host.trials.grant(id, server);
-                basis = host.notices.basis(&host.names[usize::from(server.0)]);
+                known_limit = host.notices.known_limit(&host.names[usize::from(server.0)]);
             }
             Order::Refuse { id, refusal, .. } => {
                 host.release_repeat(id);
@@ -56,7 +56,7 @@
             Order::Preempt { .. } => {}
         }
         let spent = (host.budget.spent(now, instances) * SPENT_WHOLE) as i16;
-        let terms = wire::Terms { spent, alone, basis, now };
+        let terms = wire::Terms { spent, alone, known_limit, now };
         let (entry, id, message, why) = wire::order(order, &host.names, &terms);
         self.shared.explanations.add(id, format!("{pool}: {why}"));
         self.unsent.push_back((entry, message));
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -13,7 +13,7 @@
 use drumusher_wire::peer::{self, Message};
 
 use crate::{
-    process::{broker::Attempt, clock, counts::Part, notices::Basis},
+    process::{broker::Attempt, clock, counts::Part, notices::KnownLimit},
     request::id,
     version::Version,
 };
@@ -98,7 +98,7 @@
     /// Of a request on trial, whether it is apart from others.
     pub(super) alone: Option<bool>,
     /// What is known of the limit of its backend server.
-    pub(super) basis: Basis,
+    pub(super) known_limit: KnownLimit,
     /// When it is given.
     pub(super) now: Micros,
 }
@@ -126,8 +126,8 @@
                 expected: (expected > 0).then_some(expected as i64),
                 spent: (terms.spent > 0).then_some(terms.spent),
                 alone: terms.alone,
-                limited: terms.basis.limited.then_some(true),
-                lifted: terms.basis.lifted.map(|at| terms.now.saturating_sub(at) as i64),
+                limited: terms.known_limit.limited.then_some(true),
+                lifted: terms.known_limit.lifted.map(|at| terms.now.saturating_sub(at) as i64),
             };
             (entry, id, Message::Grant(grant), why)
         }
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -78,7 +78,7 @@
 
 /// What the dispatcher of a grant knew of the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Basis {
+pub struct KnownLimit {
     /// Whether the grant was counted among those that the limit allows.
     pub limited: bool,
     /// When a request was sent whose answer lifted the limit, on the own clock.
@@ -95,7 +95,7 @@
     /// When the request was sent; 0 if that is not known.
     pub sent: Micros,
     /// What its grant was based on.
-    pub basis: Basis,
+    pub known_limit: KnownLimit,
     /// What is said.
     pub notice: &'a Notice,
 }
@@ -123,7 +123,7 @@
     /// Takes what a backend server says of itself in an answer that came now. Returns what its dispatcher is to be told.
     pub fn hear(&self, now: Micros, answer: &Answer<'_>) -> Option<Record> {
         let Answer { pool, server, .. } = *answer;
-        let says_something = *answer.notice != Notice::default() || answer.basis.limited;
+        let says_something = *answer.notice != Notice::default() || answer.known_limit.limited;
         if !says_something && self.len.load(Ordering::Acquire) == 0 {
             return None;
         }
@@ -155,7 +155,7 @@
         &self,
         now: Micros,
         server: &Backend,
-        basis: Basis,
+        known_limit: KnownLimit,
     ) -> Option<(Withheld, Record)> {
         if self.len.load(Ordering::Acquire) == 0 {
             return None;
@@ -163,8 +163,8 @@
         let mut records = self.lock();
         let record = records.get_mut(&server.name);
         let record = record.filter(|record| record.born_ms >= server.born_ms)?;
-        record.learn(basis);
-        Some((record.withholds(now, basis)?, record.clone()))
+        record.learn(known_limit);
+        Some((record.withholds(now, known_limit)?, record.clone()))
     }
 
     /// Whether a backend server said that it leaves.
@@ -253,7 +253,7 @@
             self.log("a backend server says of itself what cannot be read");
         }
         // Others may have heard a limit of which this instance knows nothing: they are told that it was not named.
-        let is_named = notice.limit.is_some() || answer.basis.limited && !notice.unclear;
+        let is_named = notice.limit.is_some() || answer.known_limit.limited && !notice.unclear;
         let due = is_named && now >= self.told + TOLD_EVERY;
         if changed || due {
             self.told = now;
@@ -276,8 +276,8 @@
     }
 
     /// Takes what the dispatcher of a grant heard of the limit from others.
-    fn learn(&mut self, basis: Basis) {
-        if basis.lifted.is_some_and(|lifted| self.limit.lift(lifted)) {
+    fn learn(&mut self, known_limit: KnownLimit) {
+        if known_limit.lifted.is_some_and(|lifted| self.limit.lift(lifted)) {
             self.log("others heard that a backend server names no limit any more");
         }
     }
@@ -307,14 +307,14 @@
     }
 
     /// Why nothing that was granted on a basis may be sent now.
-    fn withholds(&self, now: Micros, basis: Basis) -> Option<Withheld> {
+    fn withholds(&self, now: Micros, known_limit: KnownLimit) -> Option<Withheld> {
         if self.leaving.is_some() {
             return Some(Withheld::Leaving);
         }
         if let Some((_, until)) = self.rest.filter(|(_, until)| now < *until) {
             return Some(Withheld::Resting(until - now));
         }
-        let allowed = basis.limited || self.limit.allows(basis.lifted);
+        let allowed = known_limit.limited || self.limit.allows(known_limit.lifted);
         (!allowed).then_some(Withheld::Limited)
     }
 
--- a/crates/drumusher/src/routed/exchange.rs
+++ b/crates/drumusher/src/routed/exchange.rs
@@ -45,7 +45,7 @@
     ticket::{Ask, Ticket},
 };
 use crate::{
-    process::{clock, notices::Basis},
+    process::{clock, notices::KnownLimit},
     request::{hold::Hold, id},
     upstream::{self, Conn, answer::Piece},
     version::{Backend, Pool},
@@ -96,7 +96,7 @@
     /// The instance that granted the latest attempt.
     dispatcher: Option<Arc<str>>,
     /// What its dispatcher knew of the limit of its backend server.
-    basis: Basis,
+    known_limit: KnownLimit,
     /// When it was handed over.
     handed_at: Micros,
     /// Whether the latest attempt is on trial, apart from others.
@@ -147,7 +147,7 @@
             source_failed: false,
             expected: 0,
             dispatcher: None,
-            basis: Basis::default(),
+            known_limit: KnownLimit::default(),
             handed_at: 0,
             alone: false,
             unconnected: 0,
--- a/crates/drumusher/src/routed/exchange/grant.rs
+++ b/crates/drumusher/src/routed/exchange/grant.rs
@@ -85,8 +85,8 @@
     ///
     /// In how many milliseconds it can, if that is known.
     fn accept(&mut self, grant: Grant) -> Result<Backend, Option<u64>> {
-        let Grant { server, source, expected, dispatcher, alone, basis } = grant;
-        (self.alone, self.basis, self.expected) = (alone, basis, expected);
+        let Grant { server, source, expected, dispatcher, alone, known_limit } = grant;
+        (self.alone, self.known_limit, self.expected) = (alone, known_limit, expected);
         self.dispatcher = Some(dispatcher);
         self.source = self.source_of(source);
         let usable = self.usable(&server);
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -6,7 +6,7 @@
     process::{
         broker::{Attempt, Input, DispatchRequest, Reply, Report, Send, Table, View},
         clock,
-        notices::{Answer, Basis, Notices},
+        notices::{Answer, KnownLimit, Notices},
     },
     request::id,
     version::{Backend, Directory, Instance, Pool},
@@ -367,8 +367,8 @@
         spot: false,
     };
     let notice = Notice { leaving: true, ..Notice::default() };
-    let (pool, basis) = (pool(), Basis::default());
-    let answer = Answer { pool: &pool, server: &server, sent: 0, basis, notice: &notice };
+    let (pool, known_limit) = (pool(), KnownLimit::default());
+    let answer = Answer { pool: &pool, server: &server, sent: 0, known_limit, notice: &notice };
     let record = notices.hear(clock::now(), &answer).expect("it is new");
     let brought = |sends: &[Send]| {
         let (to, ask) = asked(sends).expect("it is asked");
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Instant};
 
 use drumusher::{
-    process::notices::{Answer, Basis, Limit, Notices, Record, Withheld},
+    process::notices::{Answer, KnownLimit, Limit, Notices, Record, Withheld},
     version::{Backend, Directory, Pool},
 };
 use drumusher_platform::dialect::{Notice, Rate};
@@ -13,9 +13,9 @@
 /// A moment of the process's clock.
 const NOW: Micros = 1_000 * SECOND;
 /// A grant of a dispatcher that knows nothing.
-const UNAWARE: Basis = Basis { limited: false, lifted: None };
+const UNAWARE: KnownLimit = KnownLimit { limited: false, lifted: None };
 /// One that is counted among those that a limit allows.
-const COUNTED: Basis = Basis { limited: true, lifted: None };
+const COUNTED: KnownLimit = KnownLimit { limited: true, lifted: None };
 
 fn pool() -> Pool {
     Pool::Service("desk".into())
@@ -56,14 +56,14 @@
     notices: &Notices,
     at: Micros,
     server: &Backend,
-    (sent, basis): (Micros, Basis),
+    (sent, known_limit): (Micros, KnownLimit),
     notice: Notice,
 ) -> Option<Record> {
-    notices.hear(at, &Answer { pool: &pool(), server, sent, basis, notice: &notice })
+    notices.hear(at, &Answer { pool: &pool(), server, sent, known_limit, notice: &notice })
 }
 
-fn why(notices: &Notices, at: Micros, server: &Backend, basis: Basis) -> Option<Withheld> {
-    notices.withheld(at, server, basis).map(|(why, _)| why)
+fn why(notices: &Notices, at: Micros, server: &Backend, known_limit: KnownLimit) -> Option<Withheld> {
+    notices.withheld(at, server, known_limit).map(|(why, _)| why)
 }
 
 /// An answer that says nothing leaves nothing behind.
@@ -127,9 +127,9 @@
     hear(&notices, NOW, &server, limit(1_400));
     assert_eq!(why(&notices, NOW, &server, UNAWARE), Some(Withheld::Limited));
     assert_eq!(why(&notices, NOW, &server, COUNTED), None);
-    let before = Basis { limited: false, lifted: Some(NOW - SECOND) };
+    let before = KnownLimit { limited: false, lifted: Some(NOW - SECOND) };
     assert_eq!(why(&notices, NOW, &server, before), Some(Withheld::Limited));
-    let after = Basis { limited: false, lifted: Some(NOW + 2 * SECOND) };
+    let after = KnownLimit { limited: false, lifted: Some(NOW + 2 * SECOND) };
     assert_eq!(why(&notices, NOW + 3 * SECOND, &server, after), None);
     assert!(notices.in_force(NOW + 3 * SECOND).is_empty(), "it is known here from now on");
 }
