--- a/crates/drumusher/src/process/broker/loan.rs
+++ b/crates/drumusher/src/process/broker/loan.rs
@@ -6,7 +6,7 @@
 use drumusher_schedule::time::{Micros, SECOND};
 
 use crate::{
-    process::counts::{Counts, Part},
+    process::counts::{Counts, Bucket},
     version::Pool,
 };
 
@@ -39,7 +39,7 @@
     /// How much of the part is spent elsewhere, as on the wire.
     pub spent: i16,
     /// What this instance sent so far, unless the dispatcher knows it.
-    pub sent: Option<Vec<Part>>,
+    pub sent: Option<Vec<Bucket>>,
 }
 
 /// What is lent, by pool.
--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -60,7 +60,7 @@
     }
 }
 
-fn count(part: &counts::Part) -> peer::Count {
+fn count(part: &counts::Bucket) -> peer::Count {
     peer::Count::new(part.age as i32, part.requests as i32, part.repeats as i32)
 }
 
--- a/crates/drumusher/src/process/counts.rs
+++ b/crates/drumusher/src/process/counts.rs
@@ -16,7 +16,7 @@
 
 /// What was counted in a part of a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct Bucket {
     /// How many parts before the latest one it lies.
     pub age: u64,
     /// Requests that were asked for the first time.
@@ -31,7 +31,7 @@
     /// Length of a part.
     length: Micros,
     /// By the number of the part since the beginning of the clock.
-    parts: VecDeque<(u64, Part)>,
+    parts: VecDeque<(u64, Bucket)>,
 }
 
 impl Counts {
@@ -58,13 +58,13 @@
     }
 
     /// Adds a part that was counted elsewhere, unless it matters no more. Another instance may say anything.
-    pub fn bring(&mut self, now: Micros, part: Part) {
+    pub fn bring(&mut self, now: Micros, part: Bucket) {
         let age = Some(part.age).filter(|age| *age <= 2 * PARTS);
         let Some(number) = age.and_then(|age| self.number(now).checked_sub(age)) else { return };
         let at = match self.parts.binary_search_by_key(&number, |(number, _)| *number) {
             Ok(at) => at,
             Err(at) => {
-                self.parts.insert(at, (number, Part::default()));
+                self.parts.insert(at, (number, Bucket::default()));
                 at
             }
         };
@@ -74,10 +74,10 @@
     }
 
     /// The parts that may still matter, each with its age.
-    pub fn told(&self, now: Micros) -> impl Iterator<Item = Part> {
+    pub fn told(&self, now: Micros) -> impl Iterator<Item = Bucket> {
         let number = self.number(now);
         let kept = self.parts.iter().filter(move |(at, _)| at + 2 * PARTS >= number);
-        kept.map(move |(at, part)| Part { age: number.saturating_sub(*at), ..*part })
+        kept.map(move |(at, part)| Bucket { age: number.saturating_sub(*at), ..*part })
     }
 
     /// The most repeats, over all windows that are not over, beyond what their requests allow at `ratio` for each, rounded
@@ -124,13 +124,13 @@
     }
 
     /// The part that `now` falls in; those that matter no more are dropped.
-    fn part(&mut self, now: Micros) -> &mut Part {
+    fn part(&mut self, now: Micros) -> &mut Bucket {
         let number = self.number(now);
         while self.parts.front().is_some_and(|(at, _)| at + 2 * PARTS < number) {
             self.parts.pop_front();
         }
         if self.parts.back().is_none_or(|(at, _)| *at < number) {
-            self.parts.push_back((number, Part::default()));
+            self.parts.push_back((number, Bucket::default()));
         }
         &mut self.parts.back_mut().expect("a part was just entered").1
     }
--- a/crates/drumusher/src/process/dispatch/budget.rs
+++ b/crates/drumusher/src/process/dispatch/budget.rs
@@ -22,7 +22,7 @@
     time::{MILLISECOND, Micros},
 };
 
-use crate::process::counts::{Counts, Part};
+use crate::process::counts::{Counts, Bucket};
 
 /// Part of the fixed number that is used. What an instance that turned away from a dispatcher had lent may
 /// be spent there for as long as [`LENT_FOR`] says, and what instances believe about how many there are
@@ -105,7 +105,7 @@
     }
 
     /// Takes what an instance counted itself, in place of what is known of it.
-    pub fn replace_counts(&mut self, now: Micros, entry: Entry, parts: impl IntoIterator<Item = Part>) {
+    pub fn replace_counts(&mut self, now: Micros, entry: Entry, parts: impl IntoIterator<Item = Bucket>) {
         let Some(account) = self.accounts.get_mut(&entry) else { return };
         account.counts = Counts::new(self.bound.window);
         parts.into_iter().for_each(|part| account.counts.bring(now, part));
@@ -228,7 +228,7 @@
             }
             for part in account.counts.told(now) {
                 let requests = if lends { part.requests } else { 0 };
-                sums.counts.bring(now, Part { requests, ..part });
+                sums.counts.bring(now, Bucket { requests, ..part });
             }
         }
         sums
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -13,7 +13,7 @@
 use drumusher_wire::peer::{self, Message};
 
 use crate::{
-    process::{broker::Attempt, clock, counts::Part, notices::KnownLimit},
+    process::{broker::Attempt, clock, counts::Bucket, notices::KnownLimit},
     request::id,
     version::Version,
 };
@@ -50,9 +50,9 @@
 }
 
 /// What an entry says that it sent in one part of the window.
-pub(super) fn count(count: &peer::Count) -> Part {
+pub(super) fn count(count: &peer::Count) -> Bucket {
     let number = |number: i32| number.max(0) as u32;
-    Part {
+    Bucket {
         age: u64::from(number(count.age)),
         requests: number(count.requests),
         repeats: number(count.repeats),
