--- a/crates/drumusher/src/process/dispatch/budget.rs
+++ b/crates/drumusher/src/process/dispatch/budget.rs
@@ -185,7 +185,7 @@
 
     /// The part of all instances, where so many are listed, that asked this dispatcher in the latest window. Some of a large
     /// fleet ask for a service only now and then; one that cannot be reached any more is removed at once.
-    pub fn part(&self, now: Micros, instances: usize) -> f64 {
+    pub fn share(&self, now: Micros, instances: usize) -> f64 {
         let asked = |account: &&Account| now <= account.asked + self.bound.window;
         let asked = self.accounts.values().filter(asked).count();
         (asked as f64 / instances.max(1) as f64).min(1.0)
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -136,7 +136,7 @@
     fn share_limits(&mut self, pool: &Pool, now: Micros) {
         let instances = self.shared.directory.load().instances.len();
         let Some(host) = self.hosts.get_mut(pool) else { return };
-        let part = host.budget.part(now, instances);
+        let part = host.budget.share(now, instances);
         let rates = host.notices.rates(now, part);
         let known = |(server, rate)| Some(Event::Limit(*host.known.get(&server)?, rate));
         let events: Vec<Event> = rates.into_iter().filter_map(known).collect();
--- a/crates/drumusher/tests/unit/budget.rs
+++ b/crates/drumusher/tests/unit/budget.rs
@@ -405,9 +405,9 @@
 fn who_asks_now_and_then_lends_its_part() {
     let mut budget = Budget::new(BOUND);
     (1..=4).for_each(|entry| budget.delegate(SECOND, Entry(entry), 0.0));
-    assert_eq!(budget.part(9 * SECOND, 8), 0.5);
+    assert_eq!(budget.share(9 * SECOND, 8), 0.5);
     budget.remove(9 * SECOND, Entry(1), 8);
-    assert_eq!(budget.part(9 * SECOND, 8), 0.375);
-    assert_eq!(budget.part(9 * SECOND, 2), 1.0, "it knows of fewer than there are");
-    assert_eq!(budget.part(12 * SECOND, 8), 0.0);
+    assert_eq!(budget.share(9 * SECOND, 8), 0.375);
+    assert_eq!(budget.share(9 * SECOND, 2), 1.0, "it knows of fewer than there are");
+    assert_eq!(budget.share(12 * SECOND, 8), 0.0);
 }
