--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -171,7 +171,7 @@
     /// The instance that reads the store and is to tell this one, unless this one reads it itself. The
     /// readers share the work: telling all others at their start is more than one of them can send.
     /// One that gets no answers is passed over while there is one that may.
-    pub fn teller(&self, now: Micros) -> Option<Arc<str>> {
+    pub fn assigned_reader(&self, now: Micros) -> Option<Arc<str>> {
         let readers = self.readers();
         if readers.contains(&self.name) {
             return None;
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -103,7 +103,7 @@
         if self.shared.reader.swap(own, Ordering::AcqRel) != own {
             log::info!(reads = own; "whether this instance reads the store for others");
         }
-        let teller = self.inner.borrow().table.view().teller(clock::now());
+        let teller = self.inner.borrow().table.view().assigned_reader(clock::now());
         let kept = if own { readers } else { teller.into_iter().collect() };
         for reader in kept.iter().filter(|reader| **reader != self.shared.name) {
             if self.is_to_be_asked(reader) {
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -277,13 +277,13 @@
         let mut table = Table::new(View::new((*name).into(), "suva".into()));
         table.adopt(directory(&listed), &mut Vec::new());
         readers.push(table.view().readers());
-        let Some(teller) = table.view().teller(NOW) else {
+        let Some(teller) = table.view().assigned_reader(NOW) else {
             assert!(table.view().readers().iter().any(|reader| &**reader == *name));
             continue;
         };
         assert!(table.view().readers().contains(&teller));
         table.reachable(&teller, false, &mut Vec::new());
-        assert_ne!(table.view().teller(NOW), Some(teller.clone()));
+        assert_ne!(table.view().assigned_reader(NOW), Some(teller.clone()));
         *told.entry(teller).or_default() += 1;
     }
     assert!(readers.windows(2).all(|pair| pair[0] == pair[1]));
@@ -322,7 +322,7 @@
     assert!(view.readers().is_empty());
     view.adopt(directory(&NAMES[..2]));
     assert_eq!(view.readers().len(), 2);
-    assert!(view.teller(NOW).is_some());
+    assert!(view.assigned_reader(NOW).is_some());
     view.adopt(directory(&["suva-0", "suva-1", "suva-9"]));
     assert_eq!(view.readers().len(), 3);
     for name in &NAMES[..2] {
@@ -339,15 +339,15 @@
     let listed: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut view = View::new("suva-none".into(), "suva".into());
     view.adopt(directory(&listed));
-    let first = view.teller(NOW).expect("a teller");
+    let first = view.assigned_reader(NOW).expect("a teller");
     view.reads(NOW, &first, false);
-    let second = view.teller(NOW).expect("another teller");
+    let second = view.assigned_reader(NOW).expect("another teller");
     assert_ne!(second, first);
-    assert_eq!(view.teller(NOW + 10_000_000).as_ref(), Some(&first), "it is asked again");
+    assert_eq!(view.assigned_reader(NOW + 10_000_000).as_ref(), Some(&first), "it is asked again");
     view.reads(NOW, &first, true);
-    assert_eq!(view.teller(NOW).as_ref(), Some(&first));
+    assert_eq!(view.assigned_reader(NOW).as_ref(), Some(&first));
     view.readers().iter().for_each(|reader| view.reads(NOW, reader, false));
-    assert_eq!(view.teller(NOW), Some(first));
+    assert_eq!(view.assigned_reader(NOW), Some(first));
 }
 
 /// What a backend server said is brought to a dispatcher with the first ask that it gets, and told at once to the one that
