--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -197,7 +197,7 @@
     }
 
     /// How many instances of the own area are listed, and whether none of the others is reachable.
-    pub fn alone(&self) -> (usize, bool) {
+    pub fn isolation(&self) -> (usize, bool) {
         let listed = 1 + self.others(&self.area).count();
         let reachable = self.others(&self.area).any(|other| !self.is_absent(&other.name));
         (listed, listed > 1 && !reachable)
--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -231,7 +231,7 @@
     /// Tells the decisions by how much to divide capacity: by the instances of the area while none
     /// of the others can be reached, else not.
     fn divide(&self) {
-        let (listed, alone) = self.inner.borrow().table.view().alone();
+        let (listed, alone) = self.inner.borrow().table.view().isolation();
         let divide = if alone { listed as u32 } else { 1 };
         let before = std::mem::replace(&mut self.inner.borrow_mut().divide, divide);
         if before == divide {
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -163,11 +163,11 @@
 #[test]
 fn alone_an_instance_dispatches_itself_and_knows_it() {
     let mut table = table();
-    assert_eq!(table.view().alone(), (4, false));
+    assert_eq!(table.view().isolation(), (4, false));
     for name in &NAMES[1..] {
         table.reachable(&Arc::from(*name), false, &mut Vec::new());
     }
-    assert_eq!(table.view().alone(), (4, true));
+    assert_eq!(table.view().isolation(), (4, true));
     assert_eq!(table.view().dispatcher(&pool(), "suva").as_deref(), Some("suva-0"));
     assert_eq!(table.view().dispatcher(&pool(), "nadi"), None);
 }
