--- a/crates/drumusher/src/process/broker/table/answers.rs
+++ b/crates/drumusher/src/process/broker/table/answers.rs
@@ -80,7 +80,7 @@
             return;
         }
         let owner: Arc<str> = redirect.owner.as_str().into();
-        let reachable = !self.view.is_absent(&owner);
+        let reachable = !self.view.is_unreachable(&owner);
         if let Some(held) = self.held.get_mut(&id) {
             held.dispatcher = Some(if reachable { owner } else { from.clone() });
         }
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -108,7 +108,7 @@
     }
 
     /// Whether an instance cannot be reached now.
-    pub fn is_absent(&self, instance: &str) -> bool {
+    pub fn is_unreachable(&self, instance: &str) -> bool {
         self.absent.contains_key(instance)
     }
 
@@ -140,7 +140,7 @@
     /// The instances that may have a role in an area.
     fn eligible<'a>(&'a self, area: &'a str) -> impl Iterator<Item = Candidate<'a>> {
         let others = self.others(area).filter(|instance| {
-            let gone = self.is_absent(&instance.name) || self.leaving.contains(&instance.name);
+            let gone = self.is_unreachable(&instance.name) || self.leaving.contains(&instance.name);
             !instance.leaving && !gone
         });
         let others =
@@ -199,7 +199,7 @@
     /// How many instances of the own area are listed, and whether none of the others is reachable.
     pub fn isolation(&self) -> (usize, bool) {
         let listed = 1 + self.others(&self.area).count();
-        let reachable = self.others(&self.area).any(|other| !self.is_absent(&other.name));
+        let reachable = self.others(&self.area).any(|other| !self.is_unreachable(&other.name));
         (listed, listed > 1 && !reachable)
     }
 }
--- a/crates/drumusher/src/process/peers/query.rs
+++ b/crates/drumusher/src/process/peers/query.rs
@@ -43,7 +43,7 @@
             id
         };
         for other in others {
-            if self.inner.borrow().table.view().is_absent(&other) {
+            if self.inner.borrow().table.view().is_unreachable(&other) {
                 self.settle(id, &other, None);
             } else {
                 self.send(&other, Message::Query(peer::Query::new(id, statement.clone())));
