--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -126,7 +126,7 @@
     }
 
     /// The instances that have been out of reach for longer than `time`.
-    pub fn lost(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
+    pub fn unreachable_for(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
         let lost = self.absent.iter().filter(|(_, absence)| now > absence.since + time);
         lost.map(|(name, _)| name.clone()).collect()
     }
--- a/crates/drumusher/src/process/peers/alive.rs
+++ b/crates/drumusher/src/process/peers/alive.rs
@@ -108,7 +108,7 @@
     /// Tells which instances have been out of reach for so long that they count as gone.
     fn tell_lost(&self, now: u64) {
         let after = self.shared.settings.forget_ms * MILLISECOND;
-        let lost = self.inner.borrow().table.view().lost(now, after);
+        let lost = self.inner.borrow().table.view().unreachable_for(now, after);
         if **self.shared.lost.load() != lost {
             self.shared.lost.store(Arc::new(lost));
         }
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -307,10 +307,10 @@
     assert_eq!(tried(0, 3), 7, "each 0.4 s");
     assert!((20..=40).contains(&tried(3, 120)));
     assert_eq!(tried(1_000, 1_060), 4, "each 15 s");
-    assert_eq!(view.lost(600 * SECOND, 600 * SECOND), []);
-    assert_eq!(view.lost(601 * SECOND, 600 * SECOND), std::slice::from_ref(&other));
+    assert_eq!(view.unreachable_for(600 * SECOND, 600 * SECOND), []);
+    assert_eq!(view.unreachable_for(601 * SECOND, 600 * SECOND), std::slice::from_ref(&other));
     assert!(view.reachable(602 * SECOND, &other, true));
-    assert_eq!(view.lost(9_999 * SECOND, 600 * SECOND), []);
+    assert_eq!(view.unreachable_for(9_999 * SECOND, 600 * SECOND), []);
     assert_eq!(view.trials(9_999 * SECOND), []);
 }
 
