--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -87,8 +87,8 @@
     }
 
     /// The absent instances that are to be tried now.
-    pub fn trials(&mut self) -> Vec<Arc<str>> {
-        self.view.trials(clock::now())
+    pub fn due_reconnects(&mut self) -> Vec<Arc<str>> {
+        self.view.due_reconnects(clock::now())
     }
 
     /// How many asks are owned.
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -113,7 +113,7 @@
     }
 
     /// The absent instances that are to be tried now. The longer one was out of reach, the rarer.
-    pub fn trials(&mut self, now: Micros) -> Vec<Arc<str>> {
+    pub fn due_reconnects(&mut self, now: Micros) -> Vec<Arc<str>> {
         let mut due = Vec::new();
         for (name, absence) in &mut self.absent {
             let pause = ((now - absence.since) / TRIAL_PART).clamp(TRIAL_LEAST, TRIAL_MOST);
--- a/crates/drumusher/src/process/peers/link.rs
+++ b/crates/drumusher/src/process/peers/link.rs
@@ -152,7 +152,7 @@
     pub(super) async fn trials(self) {
         loop {
             sleep(TRIAL_LOOK).await;
-            let due = self.inner.borrow_mut().table.trials();
+            let due = self.inner.borrow_mut().table.due_reconnects();
             for instance in due {
                 rt::spawn(self.clone().trial(instance));
             }
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -302,7 +302,7 @@
     assert!(view.reachable(0, &other, false));
     assert!(!view.reachable(SECOND, &other, false), "it is known; the time of its loss stays");
     let mut tried = |from: u64, to: u64| -> usize {
-        (from * 10..to * 10).map(|tenth| view.trials(tenth * SECOND / 10).len()).sum()
+        (from * 10..to * 10).map(|tenth| view.due_reconnects(tenth * SECOND / 10).len()).sum()
     };
     assert_eq!(tried(0, 3), 7, "each 0.4 s");
     assert!((20..=40).contains(&tried(3, 120)));
@@ -311,7 +311,7 @@
     assert_eq!(view.unreachable_for(601 * SECOND, 600 * SECOND), std::slice::from_ref(&other));
     assert!(view.reachable(602 * SECOND, &other, true));
     assert_eq!(view.unreachable_for(9_999 * SECOND, 600 * SECOND), []);
-    assert_eq!(view.trials(9_999 * SECOND), []);
+    assert_eq!(view.due_reconnects(9_999 * SECOND), []);
 }
 
 /// An instance that starts among few others, or before it knows of any, as all do at the first start of a
