--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -303,8 +303,8 @@
     }
 
     /// An instance says whether it reads the store and gets answers.
-    pub fn reads(&mut self, now: Micros, instance: &Arc<str>, reads: bool) {
-        self.view.reads(now, instance, reads);
+    pub fn set_store_readable(&mut self, now: Micros, instance: &Arc<str>, reads: bool) {
+        self.view.set_store_readable(now, instance, reads);
     }
 
     /// The own instance is stopping: it hands its roles over.
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -188,7 +188,7 @@
     }
 
     /// An instance says whether it reads the store and gets answers.
-    pub fn reads(&mut self, now: Micros, instance: &Arc<str>, reads: bool) {
+    pub fn set_store_readable(&mut self, now: Micros, instance: &Arc<str>, reads: bool) {
         if reads {
             self.unread.remove(instance);
         } else {
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -172,7 +172,7 @@
         }
         let mut inner = self.inner.borrow_mut();
         let is_teller = inner.tellers.contains(instance);
-        inner.table.reads(now, instance, reads || !is_teller);
+        inner.table.set_store_readable(now, instance, reads || !is_teller);
         if !reads && is_teller && !self.shared.reader.load(Ordering::Acquire) {
             self.shared.unread.store(now, Ordering::Release);
         }
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -340,13 +340,13 @@
     let mut view = View::new("suva-none".into(), "suva".into());
     view.adopt(directory(&listed));
     let first = view.assigned_reader(NOW).expect("a teller");
-    view.reads(NOW, &first, false);
+    view.set_store_readable(NOW, &first, false);
     let second = view.assigned_reader(NOW).expect("another teller");
     assert_ne!(second, first);
     assert_eq!(view.assigned_reader(NOW + 10_000_000).as_ref(), Some(&first), "it is asked again");
-    view.reads(NOW, &first, true);
+    view.set_store_readable(NOW, &first, true);
     assert_eq!(view.assigned_reader(NOW).as_ref(), Some(&first));
-    view.readers().iter().for_each(|reader| view.reads(NOW, reader, false));
+    view.readers().iter().for_each(|reader| view.set_store_readable(NOW, reader, false));
     assert_eq!(view.assigned_reader(NOW), Some(first));
 }
 
