--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -296,8 +296,8 @@
     }
 
     /// An instance says whether it is leaving.
-    pub fn leaves(&mut self, instance: &Arc<str>, leaving: bool, sends: &mut Vec<Send>) {
-        if self.view.leaves(instance, leaving) {
+    pub fn set_leaving(&mut self, instance: &Arc<str>, leaving: bool, sends: &mut Vec<Send>) {
+        if self.view.set_leaving(instance, leaving) {
             self.reassign(sends);
         }
     }
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -98,7 +98,7 @@
     }
 
     /// An instance says whether it is leaving. Returns whether that is new.
-    pub fn leaves(&mut self, instance: &Arc<str>, leaving: bool) -> bool {
+    pub fn set_leaving(&mut self, instance: &Arc<str>, leaving: bool) -> bool {
         if leaving { self.leaving.insert(instance.clone()) } else { self.leaving.remove(instance) }
     }
 
--- a/crates/drumusher/src/process/peers/messages.rs
+++ b/crates/drumusher/src/process/peers/messages.rs
@@ -103,7 +103,7 @@
         let before = {
             let mut inner = self.inner.borrow_mut();
             let leaving = heartbeat.leaving.unwrap_or(false);
-            inner.table.leaves(instance, leaving, &mut sends);
+            inner.table.set_leaving(instance, leaving, &mut sends);
             let conn = inner.conns.get_mut(&number);
             conn.is_some_and(|conn| std::mem::replace(&mut conn.behind, behind))
         };
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -203,8 +203,8 @@
                 }
                 1 if who > 0 => table.reachable(&name, false, &mut sends),
                 2 => table.reachable(&name, true, &mut sends),
-                3 if who > 0 => table.leaves(&name, true, &mut sends),
-                4 => table.leaves(&name, false, &mut sends),
+                3 if who > 0 => table.set_leaving(&name, true, &mut sends),
+                4 => table.set_leaving(&name, false, &mut sends),
                 _ => {}
             }
             for send in sends {
