--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -286,11 +286,11 @@
     }
 
     /// An instance cannot be reached, or can again.
-    pub fn reachable(&mut self, instance: &Arc<str>, reachable: bool, sends: &mut Vec<Send>) {
+    pub fn set_reachable(&mut self, instance: &Arc<str>, reachable: bool, sends: &mut Vec<Send>) {
         if reachable {
             self.loans.connected(instance);
         }
-        if self.view.reachable(clock::now(), instance, reachable) {
+        if self.view.set_reachable(clock::now(), instance, reachable) {
             self.reassign(sends);
         }
     }
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -87,7 +87,7 @@
     }
 
     /// An instance cannot be reached, or can again. Returns whether that is new.
-    pub fn reachable(&mut self, now: Micros, instance: &Arc<str>, reachable: bool) -> bool {
+    pub fn set_reachable(&mut self, now: Micros, instance: &Arc<str>, reachable: bool) -> bool {
         if reachable {
             return self.absent.remove(instance).is_some();
         }
--- a/crates/drumusher/src/process/peers/session.rs
+++ b/crates/drumusher/src/process/peers/session.rs
@@ -57,7 +57,7 @@
             };
             inner.conns.insert(number, conn);
             let before = inner.links.insert(instance.clone(), Link::Up(number));
-            inner.table.reachable(instance, true, &mut sends);
+            inner.table.set_reachable(instance, true, &mut sends);
             let pending = match before {
                 Some(Link::Connecting(_, pending)) => pending,
                 _ => Vec::new(),
@@ -107,7 +107,7 @@
         self.shared.telemetry.count("drumusher.peer.lost", &[]);
         log::warn!("instance {instance} cannot be reached");
         let mut sends = Vec::new();
-        self.inner.borrow_mut().table.reachable(instance, false, &mut sends);
+        self.inner.borrow_mut().table.set_reachable(instance, false, &mut sends);
         self.query_lost(instance);
         self.send_all(sends);
         self.divide();
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -100,13 +100,13 @@
     let (sends, _replies) = open(&mut table, 1);
     let (first, _) = asked(&sends).expect("it is asked");
     let mut sends = Vec::new();
-    table.reachable(&first, false, &mut sends);
+    table.set_reachable(&first, false, &mut sends);
     let (second, ask) = asked(&sends).expect("the next is asked");
     assert_ne!(first, second);
     assert_eq!(ask.server, None);
     // Back again: it is asked again and the other is told to forget.
     let mut sends = Vec::new();
-    table.reachable(&first, true, &mut sends);
+    table.set_reachable(&first, true, &mut sends);
     assert_eq!(asked(&sends).map(|(to, _)| to), Some(first));
     let forgets = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == second;
     assert!(sends.iter().any(forgets));
@@ -121,7 +121,7 @@
     assert!(matches!(replies.try_recv(), Ok(Reply::Grant(_))));
     table.take(Input::Progress(1, Report { produced: 7, ..Report::default() }), &mut Vec::new());
     let mut sends = Vec::new();
-    table.reachable(&first, false, &mut sends);
+    table.set_reachable(&first, false, &mut sends);
     let (_, ask) = asked(&sends).expect("it is declared");
     assert_eq!((ask.server.as_deref(), ask.produced), (Some("engine-1"), Some(7)));
 }
@@ -131,7 +131,7 @@
     let mut table = table();
     let (sends, replies) = open(&mut table, 1);
     let (first, _) = asked(&sends).expect("it is asked");
-    table.reachable(&first, false, &mut Vec::new());
+    table.set_reachable(&first, false, &mut Vec::new());
     grant(&mut table, &first, 1);
     assert!(replies.try_recv().is_err());
 }
@@ -165,7 +165,7 @@
     let mut table = table();
     assert_eq!(table.view().isolation(), (4, false));
     for name in &NAMES[1..] {
-        table.reachable(&Arc::from(*name), false, &mut Vec::new());
+        table.set_reachable(&Arc::from(*name), false, &mut Vec::new());
     }
     assert_eq!(table.view().isolation(), (4, true));
     assert_eq!(table.view().dispatcher(&pool(), "suva").as_deref(), Some("suva-0"));
@@ -176,7 +176,7 @@
 fn a_stopping_instance_hands_its_role_over() {
     let mut table = table();
     for name in &NAMES[2..] {
-        table.reachable(&Arc::from(*name), false, &mut Vec::new());
+        table.set_reachable(&Arc::from(*name), false, &mut Vec::new());
     }
     table.stop(&mut Vec::new());
     assert_eq!(table.view().dispatcher(&pool(), "suva").as_deref(), Some("suva-1"));
@@ -201,8 +201,8 @@
                     sends = opened;
                     receivers.push(receiver);
                 }
-                1 if who > 0 => table.reachable(&name, false, &mut sends),
-                2 => table.reachable(&name, true, &mut sends),
+                1 if who > 0 => table.set_reachable(&name, false, &mut sends),
+                2 => table.set_reachable(&name, true, &mut sends),
                 3 if who > 0 => table.set_leaving(&name, true, &mut sends),
                 4 => table.set_leaving(&name, false, &mut sends),
                 _ => {}
@@ -282,7 +282,7 @@
             continue;
         };
         assert!(table.view().readers().contains(&teller));
-        table.reachable(&teller, false, &mut Vec::new());
+        table.set_reachable(&teller, false, &mut Vec::new());
         assert_ne!(table.view().assigned_reader(NOW), Some(teller.clone()));
         *told.entry(teller).or_default() += 1;
     }
@@ -299,8 +299,8 @@
     let mut view = View::new("suva-0".into(), "suva".into());
     view.adopt(directory(&NAMES));
     let other: Arc<str> = "suva-1".into();
-    assert!(view.reachable(0, &other, false));
-    assert!(!view.reachable(SECOND, &other, false), "it is known; the time of its loss stays");
+    assert!(view.set_reachable(0, &other, false));
+    assert!(!view.set_reachable(SECOND, &other, false), "it is known; the time of its loss stays");
     let mut tried = |from: u64, to: u64| -> usize {
         (from * 10..to * 10).map(|tenth| view.due_reconnects(tenth * SECOND / 10).len()).sum()
     };
@@ -309,7 +309,7 @@
     assert_eq!(tried(1_000, 1_060), 4, "each 15 s");
     assert_eq!(view.unreachable_for(600 * SECOND, 600 * SECOND), []);
     assert_eq!(view.unreachable_for(601 * SECOND, 600 * SECOND), std::slice::from_ref(&other));
-    assert!(view.reachable(602 * SECOND, &other, true));
+    assert!(view.set_reachable(602 * SECOND, &other, true));
     assert_eq!(view.unreachable_for(9_999 * SECOND, 600 * SECOND), []);
     assert_eq!(view.due_reconnects(9_999 * SECOND), []);
 }
@@ -326,7 +326,7 @@
     view.adopt(directory(&["suva-0", "suva-1", "suva-9"]));
     assert_eq!(view.readers().len(), 3);
     for name in &NAMES[..2] {
-        view.reachable(0, &Arc::from(*name), false);
+        view.set_reachable(0, &Arc::from(*name), false);
     }
     assert_eq!(view.readers(), [Arc::from("suva-9")], "nobody else can be reached");
 }
@@ -384,7 +384,7 @@
     table.take(Input::Notice(Box::new(record)), &mut sends);
     assert!(matches!(&sends[..], [Send { to, message: Message::Notice(_) }] if *to == first));
     let mut sends = Vec::new();
-    table.reachable(&first, false, &mut sends);
+    table.set_reachable(&first, false, &mut sends);
     let (second, names) = brought(&sends);
     assert_ne!(second, first);
     assert_eq!(names, ["engine-1"]);
