--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -280,8 +280,8 @@
     }
 
     /// Takes a new directory.
-    pub fn adopt(&mut self, directory: Arc<Directory>, sends: &mut Vec<Send>) {
-        self.view.adopt(directory);
+    pub fn set_directory(&mut self, directory: Arc<Directory>, sends: &mut Vec<Send>) {
+        self.view.set_directory(directory);
         self.reassign(sends);
     }
 
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -78,7 +78,7 @@
     }
 
     /// Takes a new directory.
-    pub fn adopt(&mut self, directory: Arc<Directory>) {
+    pub fn set_directory(&mut self, directory: Arc<Directory>) {
         let listed = &directory.instances;
         self.absent.retain(|name, _| listed.contains_key(name));
         self.leaving.retain(|name| listed.contains_key(name));
--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -183,7 +183,7 @@
             let mut sends = Vec::new();
             if let broker::Input::Changed = input {
                 let directory = self.shared.directory.load_full();
-                self.inner.borrow_mut().table.adopt(directory, &mut sends);
+                self.inner.borrow_mut().table.set_directory(directory, &mut sends);
                 self.keep_reader();
                 self.keep_dispatchers();
                 self.tell_all();
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -35,7 +35,7 @@
 
 fn table() -> Table {
     let mut table = Table::new(View::new("suva-0".into(), "suva".into()));
-    table.adopt(directory(&NAMES), &mut Vec::new());
+    table.set_directory(directory(&NAMES), &mut Vec::new());
     table
 }
 
@@ -275,7 +275,7 @@
     let mut readers = Vec::new();
     for name in &listed {
         let mut table = Table::new(View::new((*name).into(), "suva".into()));
-        table.adopt(directory(&listed), &mut Vec::new());
+        table.set_directory(directory(&listed), &mut Vec::new());
         readers.push(table.view().readers());
         let Some(teller) = table.view().assigned_reader(NOW) else {
             assert!(table.view().readers().iter().any(|reader| &**reader == *name));
@@ -297,7 +297,7 @@
 fn absent_instances_are_tried_more_and_more_rarely() {
     const SECOND: u64 = 1_000_000;
     let mut view = View::new("suva-0".into(), "suva".into());
-    view.adopt(directory(&NAMES));
+    view.set_directory(directory(&NAMES));
     let other: Arc<str> = "suva-1".into();
     assert!(view.set_reachable(0, &other, false));
     assert!(!view.set_reachable(SECOND, &other, false), "it is known; the time of its loss stays");
@@ -320,10 +320,10 @@
 fn an_instance_that_is_not_listed_reads_for_nobody() {
     let mut view = View::new("suva-9".into(), "suva".into());
     assert!(view.readers().is_empty());
-    view.adopt(directory(&NAMES[..2]));
+    view.set_directory(directory(&NAMES[..2]));
     assert_eq!(view.readers().len(), 2);
     assert!(view.assigned_reader(NOW).is_some());
-    view.adopt(directory(&["suva-0", "suva-1", "suva-9"]));
+    view.set_directory(directory(&["suva-0", "suva-1", "suva-9"]));
     assert_eq!(view.readers().len(), 3);
     for name in &NAMES[..2] {
         view.set_reachable(0, &Arc::from(*name), false);
@@ -338,7 +338,7 @@
     let names: Vec<String> = (0..40).map(|number| format!("suva-{number}")).collect();
     let listed: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut view = View::new("suva-none".into(), "suva".into());
-    view.adopt(directory(&listed));
+    view.set_directory(directory(&listed));
     let first = view.assigned_reader(NOW).expect("a teller");
     view.set_store_readable(NOW, &first, false);
     let second = view.assigned_reader(NOW).expect("another teller");
