--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -249,7 +249,7 @@
 
     /// Other instances that have owed an answer for longer than [`ANSWER_WITHIN`]. Their asks are
     /// asked of the own dispatcher at once, which decides with what it knows.
-    pub fn silent(&mut self, sends: &mut Vec<Send>) -> BTreeSet<Arc<str>> {
+    pub fn reassign_overdue(&mut self, sends: &mut Vec<Send>) -> BTreeSet<Arc<str>> {
         let now = clock::now();
         let mut silent = BTreeSet::new();
         let mut owed = Vec::new();
--- a/crates/drumusher/src/process/peers/alive.rs
+++ b/crates/drumusher/src/process/peers/alive.rs
@@ -135,7 +135,7 @@
                 continue;
             }
             let mut sends = Vec::new();
-            let silent = self.inner.borrow_mut().table.silent(&mut sends);
+            let silent = self.inner.borrow_mut().table.reassign_overdue(&mut sends);
             self.send_all(sends);
             for instance in silent {
                 self.give_up(&instance);
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -222,14 +222,14 @@
 #[test]
 fn an_ask_that_is_not_answered_goes_to_the_own_dispatcher() {
     let (mut table, id, first) = asked_of_another();
-    assert!(table.silent(&mut Vec::new()).is_empty(), "it has a little time");
+    assert!(table.reassign_overdue(&mut Vec::new()).is_empty(), "it has a little time");
     let mut sends = Vec::new();
-    drumusher_bench::fleet::wait_for("it is overdue", || table.silent(&mut sends).contains(&first));
+    drumusher_bench::fleet::wait_for("it is overdue", || table.reassign_overdue(&mut sends).contains(&first));
     let (to, ask) = asked(&sends).expect("it is asked again");
     assert_eq!((&*to, id::from_wire(&ask.id)), ("suva-0", Some(id)));
     let withdrawn = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == first;
     assert!(sends.iter().any(withdrawn), "the silent one is told to forget");
-    assert!(table.silent(&mut Vec::new()).is_empty(), "the own one owes nothing");
+    assert!(table.reassign_overdue(&mut Vec::new()).is_empty(), "the own one owes nothing");
 }
 
 /// One that says that the ask waits is not passed over, and a pause of the own process is nobody's
@@ -243,12 +243,12 @@
     let mut overdue = Vec::new();
     drumusher_bench::fleet::wait_for("the other ask is overdue", || {
         other.forgive();
-        let forgiven = other.silent(&mut Vec::new()).is_empty();
+        let forgiven = other.reassign_overdue(&mut Vec::new()).is_empty();
         assert!(forgiven);
         overdue.push(());
         overdue.len() > 20
     });
-    assert!(table.silent(&mut Vec::new()).is_empty());
+    assert!(table.reassign_overdue(&mut Vec::new()).is_empty());
 }
 
 /// A table with an ask that another instance was asked.
