--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -272,7 +272,7 @@
     }
 
     /// After a pause of the own process: nobody is blamed for what was not heard meanwhile.
-    pub fn forgive(&mut self) {
+    pub fn restart_answer_timers(&mut self) {
         let now = clock::now();
         for held in self.held.values_mut() {
             held.owed = held.owed.map(|_| now);
--- a/crates/drumusher/src/process/peers/alive.rs
+++ b/crates/drumusher/src/process/peers/alive.rs
@@ -131,7 +131,7 @@
             last = now;
             if paused {
                 self.note_pause(late);
-                self.inner.borrow_mut().table.forgive();
+                self.inner.borrow_mut().table.restart_answer_timers();
                 continue;
             }
             let mut sends = Vec::new();
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -242,7 +242,7 @@
     let (mut other, ..) = asked_of_another();
     let mut overdue = Vec::new();
     drumusher_bench::fleet::wait_for("the other ask is overdue", || {
-        other.forgive();
+        other.restart_answer_timers();
         let forgiven = other.reassign_overdue(&mut Vec::new()).is_empty();
         assert!(forgiven);
         overdue.push(());
