--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -356,7 +356,7 @@
 
     /// Asks again whatever was asked of an instance whose connection broke but that can be reached
     /// again.
-    pub fn repeat(&mut self, instance: &Arc<str>, sends: &mut Vec<Send>) {
+    pub fn resend(&mut self, instance: &Arc<str>, sends: &mut Vec<Send>) {
         self.loans.connected(instance);
         let asked = self.held.iter().filter(|(_, h)| h.dispatcher.as_ref() == Some(instance));
         let ids: Vec<Id> = asked.map(|(id, _)| *id).collect();
--- a/crates/drumusher/src/process/peers/session.rs
+++ b/crates/drumusher/src/process/peers/session.rs
@@ -97,7 +97,7 @@
         {
             let mut inner = self.inner.borrow_mut();
             inner.links.insert(instance.clone(), Link::Up(other));
-            inner.table.repeat(instance, &mut sends);
+            inner.table.resend(instance, &mut sends);
         }
         self.send_all(sends);
     }
