--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -102,7 +102,7 @@
     }
 
     /// Takes what a request says.
-    pub fn take(&mut self, input: Input, sends: &mut Vec<Send>) {
+    pub fn handle(&mut self, input: Input, sends: &mut Vec<Send>) {
         match input {
             Input::Open(own) => self.open(*own, sends),
             Input::Finish(id, outcome, produced) => self.finish(id, outcome, produced, sends),
--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -188,7 +188,7 @@
                 self.keep_dispatchers();
                 self.tell_all();
             } else {
-                self.inner.borrow_mut().table.take(input, &mut sends);
+                self.inner.borrow_mut().table.handle(input, &mut sends);
             }
             self.send_all(sends);
             self.divide();
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -65,7 +65,7 @@
         replies,
     };
     let mut sends = Vec::new();
-    table.take(Input::Open(Box::new(own)), &mut sends);
+    table.handle(Input::Open(Box::new(own)), &mut sends);
     (sends, receiver)
 }
 
@@ -119,7 +119,7 @@
     let (first, _) = asked(&sends).expect("it is asked");
     grant(&mut table, &first, 1);
     assert!(matches!(replies.try_recv(), Ok(Reply::Grant(_))));
-    table.take(Input::Progress(1, Report { produced: 7, ..Report::default() }), &mut Vec::new());
+    table.handle(Input::Progress(1, Report { produced: 7, ..Report::default() }), &mut Vec::new());
     let mut sends = Vec::new();
     table.set_reachable(&first, false, &mut sends);
     let (_, ask) = asked(&sends).expect("it is declared");
@@ -260,7 +260,7 @@
         if &*first != "suva-0" {
             return (table, id, first);
         }
-        table.take(Input::Finish(id, 1, 0), &mut Vec::new());
+        table.handle(Input::Finish(id, 1, 0), &mut Vec::new());
     }
     unreachable!("one of many is asked of another instance")
 }
@@ -381,7 +381,7 @@
     let (sends, _replies) = open(&mut table, 2);
     assert_eq!(brought(&sends), (first.clone(), Vec::new()), "it knows");
     let mut sends = Vec::new();
-    table.take(Input::Notice(Box::new(record)), &mut sends);
+    table.handle(Input::Notice(Box::new(record)), &mut sends);
     assert!(matches!(&sends[..], [Send { to, message: Message::Notice(_) }] if *to == first));
     let mut sends = Vec::new();
     table.set_reachable(&first, false, &mut sends);
