--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -121,7 +121,7 @@
 
 impl Notices {
     /// Takes what a backend server says of itself in an answer that came now. Returns what its dispatcher is to be told.
-    pub fn hear(&self, now: Micros, answer: &Answer<'_>) -> Option<Record> {
+    pub fn record_answer(&self, now: Micros, answer: &Answer<'_>) -> Option<Record> {
         let Answer { pool, server, .. } = *answer;
         let says_something = *answer.notice != Notice::default() || answer.known_limit.limited;
         if !says_something && self.len.load(Ordering::Acquire) == 0 {
--- a/crates/drumusher/src/routed/exchange/notice.rs
+++ b/crates/drumusher/src/routed/exchange/notice.rs
@@ -24,7 +24,7 @@
         let sent = if own { self.handed_at } else { 0 };
         let answer =
             notices::Answer { pool: &pool, server: backend, sent, known_limit: self.known_limit, notice };
-        let told = shared.notices.hear(clock::now(), &answer);
+        let told = shared.notices.record_answer(clock::now(), &answer);
         if let Some(record) = told {
             shared.broker.send(Input::Notice(Box::new(record)));
         }
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -369,7 +369,7 @@
     let notice = Notice { leaving: true, ..Notice::default() };
     let (pool, known_limit) = (pool(), KnownLimit::default());
     let answer = Answer { pool: &pool, server: &server, sent: 0, known_limit, notice: &notice };
-    let record = notices.hear(clock::now(), &answer).expect("it is new");
+    let record = notices.record_answer(clock::now(), &answer).expect("it is new");
     let brought = |sends: &[Send]| {
         let (to, ask) = asked(sends).expect("it is asked");
         (to, ask.notices.iter().flatten().map(|notice| notice.server.clone()).collect::<Vec<_>>())
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -59,7 +59,7 @@
     (sent, known_limit): (Micros, KnownLimit),
     notice: Notice,
 ) -> Option<Record> {
-    notices.hear(at, &Answer { pool: &pool(), server, sent, known_limit, notice: &notice })
+    notices.record_answer(at, &Answer { pool: &pool(), server, sent, known_limit, notice: &notice })
 }
 
 fn why(notices: &Notices, at: Micros, server: &Backend, known_limit: KnownLimit) -> Option<Withheld> {
