--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -205,7 +205,7 @@
 pub fn notices(shared: &Shared) -> Vec<Row> {
     let now = clock::now();
     let age_ms = |since: u64| now.saturating_sub(since) / MILLISECOND;
-    let rows = shared.notices.in_force(now).into_iter().map(|record| {
+    let rows = shared.notices.all_in_force(now).into_iter().map(|record| {
         let limit = record.limit.rate().map(|rate| rate.per_second());
         let rest = record.rest.filter(|(_, until)| now < *until);
         row(json!({
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -184,7 +184,7 @@
     }
 
     /// All that is in force, by name.
-    pub fn in_force(&self, now: Micros) -> Vec<Record> {
+    pub fn all_in_force(&self, now: Micros) -> Vec<Record> {
         let records = self.lock();
         let mut all: Vec<Record> =
             records.values().filter(|record| record.is_in_force(now)).cloned().collect();
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -71,7 +71,7 @@
 fn silence_is_not_kept() {
     let notices = Notices::default();
     assert!(hear(&notices, NOW, &server("a", None), Notice::default()).is_none());
-    assert!(notices.in_force(NOW).is_empty());
+    assert!(notices.all_in_force(NOW).is_empty());
     assert_eq!(why(&notices, NOW, &server("a", None), UNAWARE), None);
 }
 
@@ -97,7 +97,7 @@
     notices.keep_listed(NOW + 60 * SECOND, &Directory::default());
     assert_eq!(why(&notices, NOW + 60 * SECOND, &server, UNAWARE), Some(Withheld::Leaving));
     notices.keep_listed(NOW + 3_600 * SECOND, &Directory::default());
-    assert!(notices.in_force(NOW).is_empty(), "and forgotten when it has been gone for long");
+    assert!(notices.all_in_force(NOW).is_empty(), "and forgotten when it has been gone for long");
 }
 
 /// A rest holds for its time, and of two ends the later one.
@@ -131,7 +131,7 @@
     assert_eq!(why(&notices, NOW, &server, before), Some(Withheld::Limited));
     let after = KnownLimit { limited: false, lifted: Some(NOW + 2 * SECOND) };
     assert_eq!(why(&notices, NOW + 3 * SECOND, &server, after), None);
-    assert!(notices.in_force(NOW + 3 * SECOND).is_empty(), "it is known here from now on");
+    assert!(notices.all_in_force(NOW + 3 * SECOND).is_empty(), "it is known here from now on");
 }
 
 /// An answer without a limit lifts it, unless its request was sent before or just after the limit was named: answers
