--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -164,7 +164,7 @@
         ask.redirected = redirected.then_some(true);
         if offer.sent.is_some() {
             let now = clock::now();
-            let known = self.notices.of(now, &held.own.pool);
+            let known = self.notices.in_force_for(now, &held.own.pool);
             let known: Vec<_> = known.iter().map(|record| wire::notice(record, now)).collect();
             ask.notices = (!known.is_empty()).then_some(known);
         }
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -174,7 +174,7 @@
     }
 
     /// All that is in force of a pool, for a dispatcher that does not know it.
-    pub fn of(&self, now: Micros, pool: &Pool) -> Vec<Record> {
+    pub fn in_force_for(&self, now: Micros, pool: &Pool) -> Vec<Record> {
         if self.len.load(Ordering::Acquire) == 0 {
             return Vec::new();
         }
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -175,10 +175,10 @@
     for number in 0..20_000 {
         hear(&notices, NOW + number, &server(&format!("s{number}"), None), leaving());
     }
-    let known = notices.of(NOW, &pool());
+    let known = notices.in_force_for(NOW, &pool());
     assert!(known.len() <= 8_192, "{}", known.len());
     assert!(notices.leaves(&server("s19999", None)));
-    assert!(notices.of(NOW, &Pool::Service(Arc::from("other"))).is_empty());
+    assert!(notices.in_force_for(NOW, &Pool::Service(Arc::from("other"))).is_empty());
 }
 
 /// Two limits as two instances know them, told in any order, end as the later word has it.
