--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -102,7 +102,7 @@
 
 /// How many backend servers have something in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sum {
+pub struct Totals {
     /// Of those with a limit.
     pub limited: usize,
     /// Of those that leave.
@@ -193,8 +193,8 @@
     }
 
     /// How many backend servers have something in force.
-    pub fn sum(&self, now: Micros) -> Sum {
-        let mut sum = Sum::default();
+    pub fn totals(&self, now: Micros) -> Totals {
+        let mut sum = Totals::default();
         for record in self.lock().values() {
             sum.limited += usize::from(record.limit.rate().is_some());
             sum.leaving += usize::from(record.leaving.is_some());
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -269,7 +269,7 @@
 
     /// Notes how many backend servers have something in force that they said of themselves.
     pub fn note_notices(&self) {
-        let sum = self.notices.sum(clock::now());
+        let sum = self.notices.totals(clock::now());
         self.telemetry.gauge("drumusher.servers.limited", sum.limited as u64);
         self.telemetry.gauge("drumusher.servers.leaving", sum.leaving as u64);
         self.telemetry.gauge("drumusher.servers.resting", sum.resting as u64);
