--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -214,7 +214,7 @@
             "heard_by": &*shared.name,
             "limit_per_second": limit,
             "limit_age_ms": limit.map(|_| age_ms(record.limit.since())),
-            "limit_heard_ms": limit.map(|_| age_ms(record.limit.named())),
+            "limit_heard_ms": limit.map(|_| age_ms(record.limit.announced())),
             "leaving": record.leaving.is_some(),
             "leaving_age_ms": record.leaving.map(age_ms),
             "rest_age_ms": rest.map(|(since, _)| age_ms(since)),
--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -53,7 +53,7 @@
         server: record.server.to_string(),
         born: record.born_ms.map(|born| born as i64),
         limit: limit.map(|rate| i64::from(rate.0)),
-        named: limit.map(|_| age(record.limit.named())),
+        named: limit.map(|_| age(record.limit.announced())),
         lifted: record.limit.lifted().map(age),
         leaving: record.leaving.map(|_| true),
         rest: rest.filter(|left| *left > 0),
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -46,7 +46,7 @@
         let limit = &mut self.known.entry(server.clone()).or_default().limit;
         let lifted = notice.lifted.is_some_and(|age| limit.lift(at(age)));
         let rate = notice.limit.map(|rate| Rate(rate.clamp(0, i64::from(u32::MAX)) as u32));
-        let named = rate.is_some_and(|rate| limit.name(at(notice.named.unwrap_or(0)), rate));
+        let named = rate.is_some_and(|rate| limit.announce(at(notice.named.unwrap_or(0)), rate));
         lifted || named
     }
 
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -263,7 +263,7 @@
 
     fn take_limit(&mut self, now: Micros, sent: Micros, notice: &Notice) -> bool {
         let changed = match notice.limit {
-            Some(rate) => self.limit.name(now, rate),
+            Some(rate) => self.limit.announce(now, rate),
             None if notice.unclear => false,
             None => self.limit.lift(sent),
         };
--- a/crates/drumusher/src/process/notices/limit.rs
+++ b/crates/drumusher/src/process/notices/limit.rs
@@ -16,7 +16,7 @@
     /// Since when it is in force.
     since: Micros,
     /// When it was named last.
-    named: Micros,
+    announced: Micros,
     /// When the latest request was sent whose answer named none.
     lifted: Micros,
 }
@@ -38,8 +38,8 @@
     }
 
     /// When it was named last.
-    pub fn named(&self) -> Micros {
-        self.named
+    pub fn announced(&self) -> Micros {
+        self.announced
     }
 
     /// When the request was sent whose answer lifted it; `None` if it is in force or there never was one.
@@ -48,20 +48,20 @@
     }
 
     /// An answer that came at a time named a limit. Returns whether that changes it.
-    pub fn name(&mut self, at: Micros, rate: Rate) -> bool {
-        if at < self.named || at <= self.lifted {
+    pub fn announce(&mut self, at: Micros, rate: Rate) -> bool {
+        if at < self.announced || at <= self.lifted {
             return false;
         }
         if self.rate.is_none() {
             self.since = at;
         }
-        self.named = at;
+        self.announced = at;
         self.rate.replace(rate) != Some(rate)
     }
 
     /// The answer to a request that was sent at a time named none. Returns whether that lifts it.
     pub fn lift(&mut self, sent: Micros) -> bool {
-        let is_later = self.named == 0 || sent > self.named + LIFTED_AFTER;
+        let is_later = self.announced == 0 || sent > self.announced + LIFTED_AFTER;
         if !is_later || sent <= self.lifted {
             return false;
         }
@@ -73,6 +73,6 @@
     /// time. That one may know more than this instance.
     pub fn allows(&self, lifted: Option<Micros>) -> bool {
         let slack = 10 * MILLISECOND;
-        self.rate.is_none() || lifted.is_some_and(|lifted| lifted + slack > self.named)
+        self.rate.is_none() || lifted.is_some_and(|lifted| lifted + slack > self.announced)
     }
 }
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -192,13 +192,13 @@
         words.reverse();
     }
     for (at, rate) in words {
-        known.name(at, rate);
+        known.announce(at, rate);
     }
     assert_eq!(known.rate(), Some(Rate(2_000)));
     assert!(known.lift(NOW + 3 * SECOND));
-    assert!(!known.name(NOW + 2 * SECOND, Rate(500)), "it was heard before the end");
+    assert!(!known.announce(NOW + 2 * SECOND, Rate(500)), "it was heard before the end");
     assert_eq!(known.rate(), None);
-    assert!(known.name(NOW + 4 * SECOND, Rate(500)));
+    assert!(known.announce(NOW + 4 * SECOND, Rate(500)));
 }
 
 /// What hearing and looking cost where no server says anything and where a thousand do. Prints the figures; for ones that
