--- a/crates/drumusher-duty/src/lease.rs
+++ b/crates/drumusher-duty/src/lease.rs
@@ -112,7 +112,7 @@
 
 /// Leave to act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pass {
+pub struct Permit {
     /// Goes along with the call.
     pub token: u64,
     /// Nothing may be sent after this.
@@ -327,10 +327,10 @@
     }
 
     /// Leave for an act that ends within `within`, if this instance has the duties.
-    pub fn pass(&self, now: Micros, within: Micros) -> Option<Pass> {
+    pub fn permit(&self, now: Micros, within: Micros) -> Option<Permit> {
         let until = self.until.saturating_sub(MARGIN);
         let token = self.token?;
-        (now >= self.quiet && now + within <= until).then_some(Pass { token, until })
+        (now >= self.quiet && now + within <= until).then_some(Permit { token, until })
     }
 
     /// An act ended, or was given up.
--- a/crates/drumusher-duty/tests/duty/holding.rs
+++ b/crates/drumusher-duty/tests/duty/holding.rs
@@ -204,7 +204,7 @@
         let leave = self.draw.chance(2);
         let lease = &self.leases[by].0;
         let usage = lease.usage().cloned().unwrap_or_default();
-        if let Some(pass) = lease.pass(now, WITHIN)
+        if let Some(pass) = lease.permit(now, WITHIN)
             && self.draw.chance(60)
         {
             let put_off = self.draw.below(PUT_OFF);
--- a/crates/drumusher-duty/tests/duty/lease.rs
+++ b/crates/drumusher-duty/tests/duty/lease.rs
@@ -49,7 +49,7 @@
     lease.read(4 * SECOND, version(7, None));
     let state = replace(&mut lease, 5 * SECOND, 4 * SECOND);
     assert_eq!((state.holder, state.token), (Some(holder("a", 1)), 8));
-    assert_eq!(lease.pass(5 * SECOND, WITHIN).map(|pass| pass.token), Some(8));
+    assert_eq!(lease.permit(5 * SECOND, WITHIN).map(|permit| permit.token), Some(8));
 }
 
 /// The end counts from before the renewal was sent, however late its answer came, less the margin.
@@ -61,8 +61,8 @@
     replace(&mut lease, sent + 2 * SECOND, sent);
     let margin = 300 * MILLISECOND;
     let last = sent + LENGTH - margin - WITHIN;
-    assert!(lease.pass(last, WITHIN).is_some());
-    assert!(lease.pass(last + 1, WITHIN).is_none());
+    assert!(lease.permit(last, WITHIN).is_some());
+    assert!(lease.permit(last + 1, WITHIN).is_none());
 }
 
 /// One that another holds is taken when its version was seen for the whole length, not before, and each change of
@@ -89,10 +89,10 @@
         panic!("a free lease is taken");
     };
     lease.replaced(5 * SECOND, 4 * SECOND, expect, state.clone(), Replaced::Unknown);
-    assert!(lease.pass(5 * SECOND, WITHIN).is_none(), "nobody knows yet");
+    assert!(lease.permit(5 * SECOND, WITHIN).is_none(), "nobody knows yet");
     lease.read(5 * SECOND + 1, Version { end: at(8), state });
-    assert!(lease.pass(5 * SECOND + 1, WITHIN).is_some());
-    assert!(lease.pass(4 * SECOND + LENGTH, WITHIN).is_none());
+    assert!(lease.permit(5 * SECOND + 1, WITHIN).is_some());
+    assert!(lease.permit(4 * SECOND + LENGTH, WITHIN).is_none());
 }
 
 /// A spell after another's begins when the own last act is long enough ago.
@@ -105,8 +105,8 @@
     lease.read(6 * SECOND, version(9, Some(holder("b", 1))));
     lease.read(6 * SECOND + 1, version(10, None));
     replace(&mut lease, 6 * SECOND + 2, 6 * SECOND + 2);
-    assert!(lease.pass(5 * SECOND + LENGTH - 1, WITHIN).is_none());
-    assert!(lease.pass(5 * SECOND + LENGTH, WITHIN).is_some());
+    assert!(lease.permit(5 * SECOND + LENGTH - 1, WITHIN).is_none());
+    assert!(lease.permit(5 * SECOND + LENGTH, WITHIN).is_some());
 }
 
 /// A process that just started does not know when the one before it acted last.
@@ -115,7 +115,7 @@
     let mut lease = lease("a");
     lease.read(10, version(7, Some(holder("a", 0))));
     replace(&mut lease, 20, 15);
-    assert!(lease.pass(SECOND, WITHIN).is_none());
+    assert!(lease.permit(SECOND, WITHIN).is_none());
 }
 
 /// The very first holder need not wait: nobody can have acted before.
@@ -124,7 +124,7 @@
     let mut lease = lease("a");
     lease.read(10, Version { end: at(0), state: State::default() });
     replace(&mut lease, 20, 15);
-    assert!(lease.pass(20, WITHIN).is_some());
+    assert!(lease.permit(20, WITHIN).is_some());
 }
 
 /// A token that the platform refused is not used again; another is taken later.
@@ -134,7 +134,7 @@
     lease.read(4 * SECOND, version(7, None));
     replace(&mut lease, 4 * SECOND, 4 * SECOND);
     lease.refused(5 * SECOND);
-    assert!(lease.pass(5 * SECOND, WITHIN).is_none());
+    assert!(lease.permit(5 * SECOND, WITHIN).is_none());
     let later = 5 * SECOND + LENGTH;
     let refused = State { token: 8, ..version(8, Some(holder("a", 1))).state };
     lease.read(later, Version { end: at(8), state: refused });
@@ -169,7 +169,7 @@
     };
     assert_eq!((expect, state.holder.clone()), (at(8), None));
     lease.replaced(5 * SECOND, 5 * SECOND, expect, state, Replaced::Done);
-    assert!(lease.pass(5 * SECOND, WITHIN).is_none());
+    assert!(lease.permit(5 * SECOND, WITHIN).is_none());
     assert!(matches!(lease.next(5 * SECOND, &none, true), Step::Wait(_)));
 }
 
@@ -209,10 +209,10 @@
     let now = 6 * SECOND;
     lease.acted(now);
     lease.read(now, restored(7, None));
-    assert_eq!(lease.pass(now, WITHIN), None, "the token of before is not used any more");
+    assert_eq!(lease.permit(now, WITHIN), None, "the token of before is not used any more");
     let state = replace(&mut lease, now, now);
     assert_eq!(state.usage, fixed);
-    assert_eq!(lease.pass(now, WITHIN).map(|pass| pass.token), Some((1 << 40) + 8));
+    assert_eq!(lease.permit(now, WITHIN).map(|permit| permit.token), Some((1 << 40) + 8));
 }
 
 /// One whose lease has ended before it heard of the restore waits like the others.
--- a/crates/drumusher/src/process/duties/hold.rs
+++ b/crates/drumusher/src/process/duties/hold.rs
@@ -9,7 +9,7 @@
 };
 
 use drumusher_duty::{
-    lease::{self, Holder, Lease, Pass, Replaced, State, Step, Version},
+    lease::{self, Holder, Lease, Permit, Replaced, State, Step, Version},
     sizing::{Kind, Outcome},
     usage::{Book, Progress, Read, Told},
 };
@@ -180,7 +180,7 @@
             self.read().await;
             return true;
         }
-        let (Some(pass), Some(read)) = (self.lease.pass(now, CALL), self.read) else {
+        let (Some(pass), Some(read)) = (self.lease.permit(now, CALL), self.read) else {
             return false;
         };
         if now < self.paused || self.wish.is_some() {
@@ -234,7 +234,7 @@
     }
 
     /// Sends the report that is fixed, or fixes the next one. Returns whether there was one.
-    async fn report(&mut self, pass: Pass, read: Read) -> bool {
+    async fn report(&mut self, pass: Permit, read: Read) -> bool {
         let Some(usage) = self.lease.usage().cloned() else {
             return false;
         };
@@ -267,7 +267,7 @@
     }
 
     /// Orders backend servers. Returns whether there was an order.
-    async fn order(&mut self, pass: Pass) -> bool {
+    async fn order(&mut self, pass: Permit) -> bool {
         let Some((service, order)) = self.orders.next(clock::now(), &self.shared) else {
             return false;
         };
@@ -299,7 +299,7 @@
         true
     }
 
-    fn caller(&self, pass: Pass) -> Caller<'_> {
+    fn caller(&self, pass: Permit) -> Caller<'_> {
         Caller { holder: &self.shared.name, token: pass.token, until: pass.until }
     }
 
--- a/crates/drumusher/tests/suspension.rs
+++ b/crates/drumusher/tests/suspension.rs
@@ -71,7 +71,7 @@
     let begun = lease.token().is_some() && lease.left(clock::now()) > 0;
     assert!(begun, "it has the duties");
     clock::suspend(SUSPENDED);
-    assert!(lease.pass(clock::now(), within).is_none(), "it may begin no call");
+    assert!(lease.permit(clock::now(), within).is_none(), "it may begin no call");
     assert_eq!(lease.left(clock::now()), 0);
 }
 
