--- a/crates/drumusher-duty/src/lease.rs
+++ b/crates/drumusher-duty/src/lease.rs
@@ -126,7 +126,7 @@
     pub length: Micros,
     /// Two spells of the same instance, with another's between them, are so far apart that nobody takes the three
     /// for one confusion.
-    pub apart: Micros,
+    pub min_gap: Micros,
 }
 
 /// A replacement whose outcome is not known.
@@ -318,7 +318,7 @@
         if token.is_some() && token != self.token {
             // Before the first holder nobody can have acted.
             let first = version.end <= Position::new(0, 1);
-            self.quiet = if first { now } else { self.acted + self.options.apart };
+            self.quiet = if first { now } else { self.acted + self.options.min_gap };
         }
         self.token = token;
         let since = self.seen.take().filter(|(before, _)| *before == version);
@@ -343,7 +343,7 @@
         self.refused = self.token.take();
         self.until = 0;
         self.stale = true;
-        self.paused = now + self.options.apart;
+        self.paused = now + self.options.min_gap;
     }
 
     /// The progress that stands in the register, if this instance has the duties.
--- a/crates/drumusher-duty/tests/duty/holding.rs
+++ b/crates/drumusher-duty/tests/duty/holding.rs
@@ -252,7 +252,7 @@
 
 fn new_lease(by: usize, boot: u64, started: Micros) -> Lease {
     let own = Holder { name: format!("i{by}"), boot };
-    Lease::new(own, Options { length: LENGTH, apart: LENGTH }, started)
+    Lease::new(own, Options { length: LENGTH, min_gap: LENGTH }, started)
 }
 
 /// What the platform holds against a sequence of calls, if anything.
--- a/crates/drumusher-duty/tests/duty/lease.rs
+++ b/crates/drumusher-duty/tests/duty/lease.rs
@@ -16,7 +16,7 @@
 }
 
 fn lease(name: &str) -> Lease {
-    Lease::new(holder(name, 1), Options { length: LENGTH, apart: LENGTH }, 0)
+    Lease::new(holder(name, 1), Options { length: LENGTH, min_gap: LENGTH }, 0)
 }
 
 /// A place in a register of a store that never came back from a copy.
--- a/crates/drumusher/src/process/duties/hold.rs
+++ b/crates/drumusher/src/process/duties/hold.rs
@@ -84,7 +84,7 @@
     fn new(shared: Arc<Shared>, platform: Rc<S>, settings: settings::Duties, boot: u64) -> Self {
         let length = settings.lease_ms * MILLISECOND;
         let own = Holder { name: shared.name.to_string(), boot };
-        let lease = Lease::new(own, lease::Options { length, apart: length }, shared.began);
+        let lease = Lease::new(own, lease::Options { length, min_gap: length }, shared.began);
         Hold {
             shared,
             platform,
--- a/crates/drumusher/tests/suspension.rs
+++ b/crates/drumusher/tests/suspension.rs
@@ -59,7 +59,7 @@
 fn a_lease_is_over() {
     let _machine = machine();
     let own = Holder { name: "i0".into(), boot: 1 };
-    let mut lease = Lease::new(own, Options { length: SHORT, apart: 0 }, clock::now() - SHORT);
+    let mut lease = Lease::new(own, Options { length: SHORT, min_gap: 0 }, clock::now() - SHORT);
     lease.read(clock::now(), Version { end: Position::new(0, 1), state: State::default() });
     let Step::Replace { expect, state } = lease.next(clock::now(), &Default::default(), false)
     else {
