--- a/crates/drumusher/src/process/explain.rs
+++ b/crates/drumusher/src/process/explain.rs
@@ -1,4 +1,4 @@
-//! Why each recent request fared as it did, for `show request`.
+//! The history of recent requests with the reason of each step, for `show request`.
 
 use std::{collections::VecDeque, sync::Mutex};
 
@@ -6,17 +6,17 @@
 
 use super::clock;
 
-/// Steps remembered by one instance.
-const STEPS: usize = 16_384;
+/// Maximum number of steps kept by an instance.
+const MAX_STEPS: usize = 16_384;
 
-/// One thing that happened to a request.
+/// One step in the history of a request.
 #[derive(Clone, Debug)]
 pub struct Step {
     /// The request.
     pub id: Id,
-    /// When, in milliseconds since 1970.
+    /// When it happened, in Unix milliseconds.
     pub time_ms: u64,
-    /// What, in a sentence.
+    /// What happened, as a sentence.
     pub what: String,
 }
 
@@ -33,22 +33,22 @@
 }
 
 impl Explanations {
-    /// None yet.
+    /// Creates an empty history.
     pub fn new() -> Self {
         Explanations { steps: Mutex::new(VecDeque::new()) }
     }
 
-    /// Adds a step.
+    /// Adds a step of a request. The oldest step is dropped if the history is full.
     pub fn add(&self, id: Id, what: impl Into<String>) {
         let step = Step { id, time_ms: clock::unix_ms(), what: what.into() };
         let mut steps = self.steps.lock().expect("no holder panics");
-        if steps.len() == STEPS {
+        if steps.len() == MAX_STEPS {
             steps.pop_front();
         }
         steps.push_back(step);
     }
 
-    /// The steps of a request.
+    /// The steps of a request, oldest first.
     pub fn of(&self, id: Id) -> Vec<Step> {
         let steps = self.steps.lock().expect("no holder panics");
         steps.iter().filter(|step| step.id == id).cloned().collect()
