--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -1,8 +1,8 @@
-//! The asks this instance owns, and which dispatcher has each. Without I/O: the peers thread feeds
-//! it and carries out what it says.
+//! The dispatch requests of this instance, and which dispatcher has each of them. Without I/O: the peers thread passes
+//! in the messages and sends the resulting ones.
 
 mod crash;
-mod loan;
+mod delegation;
 mod table;
 mod view;
 mod wire;
@@ -14,7 +14,7 @@
 use drumusher_wire::peer::Message;
 
 pub use crash::{Crash, Crashes};
-pub use loan::{Delegations, Offer};
+pub use delegation::{BudgetReport, Delegations};
 pub use table::Table;
 pub use view::View;
 
@@ -23,79 +23,79 @@
     version::Pool,
 };
 
-/// Places in the ring that reports may take; asks and finishes may exceed it.
-const RING: usize = 16_384;
+/// Capacity of the ring for progress reports, in messages. New requests and ends of requests may exceed it.
+const RING_CAPACITY: usize = 16_384;
 
-/// What a request tells the broker.
+/// A message to the broker.
 #[derive(Debug)]
 pub enum Input {
-    /// It wants to run.
+    /// A new request, to be dispatched.
     Open(Box<DispatchRequest>),
-    /// It no longer wants to, or ended: outcome as on the wire, and tokens delivered.
+    /// A request ended or was given up: its outcome (the wire's number) and the tokens delivered.
     Finish(Id, i16, u32),
-    /// A report on its running attempt.
+    /// A progress report of a running attempt.
     Progress(Id, Report),
-    /// A backend server ended while it ran a request.
+    /// A backend server crashed while it ran a request.
     Crash(Box<Crash>),
-    /// A backend server said something of itself.
+    /// A backend server announced a limit, a rest or its departure.
     Notice(Box<notices::Record>),
-    /// The directory changed.
+    /// The directory of instances and backend servers changed.
     Changed,
 }
 
-/// A report on a running attempt.
+/// A progress report of a running attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Tokens delivered in all.
+    /// Total tokens delivered.
     pub produced: u32,
-    /// Microseconds from handing over to the first token, once.
+    /// Microseconds from sending the request to the first token; set in one report only.
     pub first_token: Option<u64>,
     /// Mean microseconds between tokens since the last report.
     pub gap: u64,
 }
 
-/// Where a request is to run.
+/// The backend server that a request is to run on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
     /// The backend server.
     pub server: Arc<str>,
-    /// The backend server from which that one takes over what is kept there of the prompt.
+    /// The backend server from which that one fetches the cached part of the prompt.
     pub source: Option<Arc<str>>,
-    /// Microseconds that the first event is expected to take; 0 if nothing is known.
+    /// Expected microseconds to the first event; 0 if unknown.
     pub expected: u64,
     /// The dispatcher that granted it.
     pub dispatcher: Arc<str>,
-    /// Whether it is on trial there, apart from others.
+    /// Whether the request is on trial and the only trial on that server.
     pub alone: bool,
-    /// What its dispatcher knows of a limit of the backend server.
+    /// What the dispatcher knows of the backend server's rate limit.
     pub known_limit: notices::KnownLimit,
 }
 
-/// What a request is told.
+/// A dispatcher's reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Run on a backend server.
+    /// The request may run on a backend server.
     Grant(Grant),
-    /// Refused: number of the reason as on the wire, and microseconds until to come back.
+    /// The request is refused: the reason (the wire's number), and the microseconds after which to try again.
     Refuse(i16, u64),
-    /// Stop the attempt and ask again.
+    /// The attempt must stop; the request is to be dispatched again.
     Preempt,
 }
 
-/// What came before an ask for a request.
+/// How a dispatch request relates to earlier ones for the same request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Attempt {
-    /// Nothing: it counts as a request.
+    /// It is the first one, and counts as a request.
     #[default]
     First,
-    /// It was asked for before, but not handed over.
+    /// The request was dispatched before, but not sent to a backend server.
     Resent,
-    /// It was handed over before: it counts as a repeat.
+    /// The request was sent to a backend server before: it counts against the retry budget.
     Retry,
 }
 
 impl Attempt {
-    /// Its number on the wire; one that is not known, of a later version, counts as a repeat.
+    /// Decodes the wire's number. An unknown one, from a newer version, counts as a retry.
     pub fn from_wire(number: i16) -> Self {
         match number {
             0 => Attempt::First,
@@ -105,7 +105,7 @@
     }
 }
 
-/// An ask as its entry owns it.
+/// A request to be dispatched, as its entry keeps it.
 #[derive(Clone, Debug)]
 pub struct DispatchRequest {
     /// The request.
@@ -118,29 +118,29 @@
     pub workspace: Arc<str>,
     /// Its class.
     pub class: Arc<str>,
-    /// When it arrived, on the process's clock.
+    /// When it arrived, in microseconds on the process's clock.
     pub arrived: u64,
     /// Estimated prompt tokens.
     pub prompt: u32,
-    /// Salted hash of the prompt's beginning; 0 for none.
+    /// Salted hash of the prompt's prefix; 0 for none.
     pub prefix: u64,
     /// Tokens delivered by earlier attempts.
     pub produced: u32,
-    /// Whether it may be handed over more than once.
+    /// Whether it may be sent to a backend server more than once.
     pub repeatable: bool,
     /// How often it was preempted.
     pub preemptions: u8,
-    /// The backend server whose attempt failed last.
+    /// The backend server of the latest failed attempt.
     pub avoid: Option<Arc<str>>,
-    /// Expected tokens of the answer; 0 for no hint.
+    /// Expected tokens of the answer; 0 without a hint.
     pub output: u32,
     /// The parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// What came before this ask.
+    /// How it relates to earlier dispatch requests.
     pub attempt: Attempt,
-    /// What tells it from others when it comes anew, if that is looked at.
+    /// Digest that identifies the content when the request is sent again, if quarantine applies to it.
     pub digest: Option<Digest>,
-    /// Where replies go.
+    /// Receives the replies.
     pub replies: async_channel::Sender<Reply>,
 }
 
@@ -153,34 +153,34 @@
 /// The receiving end of the broker's ring.
 pub type Receiver = ring::TaskReceiver<Input>;
 
-/// The broker's ring.
+/// Creates the broker's ring.
 pub fn ring() -> (Sender, Receiver) {
-    let (inner, receiver) = ring::to_task(RING);
+    let (inner, receiver) = ring::to_task(RING_CAPACITY);
     (Sender { inner }, receiver)
 }
 
 impl Sender {
-    /// Sends what must pass: one ask and one finish for each grant of each request held, which the
-    /// limit on requests bounds.
+    /// Sends a message that must not be dropped, even if the ring is full: one new request and one end per grant. The
+    /// limit on requests bounds their number.
     pub fn send(&self, input: Input) {
-        // A ring whose receiver is gone belongs to a process that ends.
+        // The receiver is dropped only when the process ends.
         let _ = self.inner.send(input);
     }
 
-    /// Sends a report unless the ring is full. Returns whether it was sent.
+    /// Sends a message unless the ring is full. Returns whether it was sent.
     pub fn try_send(&self, input: Input) -> bool {
         self.inner.try_send(input).is_ok()
     }
 }
 
-/// What the peers thread is to do.
+/// A message that the peers thread is to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
-    /// The instance to send to; the own name for the own dispatcher.
+    /// The receiving instance; the own name stands for the dispatch thread of this process.
     pub to: Arc<str>,
-    /// What to send.
+    /// The message.
     pub message: Message,
 }
 
-/// The wire's number for an attempt that ended because the caller went away.
+/// The wire's number of the outcome of an attempt that was cancelled, such as when its caller disconnected.
 pub const CANCELLED: i16 = 1;
--- a/crates/drumusher/src/process/broker/crash.rs
+++ b/crates/drumusher/src/process/broker/crash.rs
@@ -1,4 +1,4 @@
-//! Ends of backend servers under requests of this instance, which its dispatchers are told. Without I/O.
+//! Crashes of backend servers during requests of this instance, to be reported to the dispatchers. Without I/O.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -12,28 +12,28 @@
 use super::{Send, View};
 use crate::{request::id, version::Pool};
 
-/// How long a crash is told on to a dispatcher that is new. The one before wrote it within a tenth of a second, unless
-/// it ended or the store was away.
-const TOLD_FOR: Micros = 10 * SECOND;
-/// Most crashes that are remembered: what a backend server runs at most, some times over.
-const MOST: usize = 1_024;
+/// How long a crash is reported again when the dispatcher changes. The previous dispatcher wrote it to the store within
+/// 0.1 s, unless it ended or the store was unavailable.
+const RETENTION: Micros = 10 * SECOND;
+/// Maximum number of crashes kept: several times what one backend server runs at once.
+const MAX_CRASHES: usize = 1_024;
 
-/// A backend server ended while it ran a request.
+/// A backend server's crash while it ran a request.
 #[derive(Clone, Debug)]
 pub struct Crash {
     /// The request.
     pub id: Id,
-    /// What tells it from others when it comes anew.
+    /// Digest that identifies the content when the request is sent again.
     pub digest: Digest,
     /// Its pool.
     pub pool: Pool,
-    /// The area whose dispatcher is told.
+    /// The area whose dispatcher gets the report.
     pub area: Arc<str>,
     /// The backend server.
     pub server: Arc<str>,
-    /// When that had started, in Unix milliseconds, if it is known.
+    /// Start time of the backend server's process, in Unix milliseconds, if known.
     pub born_ms: Option<u64>,
-    /// Whether the request was on trial there, apart from others.
+    /// Whether the request was on trial and the only trial on that server.
     pub alone: bool,
     /// Its workspace.
     pub workspace: Arc<str>,
@@ -41,47 +41,47 @@
     pub route: Arc<str>,
 }
 
-/// One with whom was told of it last.
+/// A crash with the dispatcher that it was last reported to.
 #[derive(Debug)]
-struct Told {
+struct Reported {
     at: Micros,
     to: Arc<str>,
     crash: Crash,
 }
 
-/// The latest crashes.
+/// The latest crashes, oldest first.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    told: VecDeque<Told>,
+    reports: VecDeque<Reported>,
 }
 
 impl Crashes {
-    /// A backend server ended: its pool's dispatcher is told.
+    /// Adds a crash and reports it to the dispatcher of its pool.
     pub fn add(&mut self, now: Micros, crash: Crash, view: &View, sends: &mut Vec<Send>) {
         self.expire(now);
         let Some(to) = view.dispatcher(&crash.pool, &crash.area) else {
             return;
         };
         sends.push(Send { to: to.clone(), message: message(&crash) });
-        self.told.push_back(Told { at: now, to, crash });
+        self.reports.push_back(Reported { at: now, to, crash });
     }
 
-    /// Tells the dispatchers that are new.
+    /// Reports the crashes again whose dispatcher changed.
     pub fn reassign(&mut self, now: Micros, view: &View, sends: &mut Vec<Send>) {
         self.expire(now);
-        for told in &mut self.told {
-            let to = view.dispatcher(&told.crash.pool, &told.crash.area);
-            if let Some(to) = to.filter(|to| *to != told.to) {
-                sends.push(Send { to: to.clone(), message: message(&told.crash) });
-                told.to = to;
+        for reported in &mut self.reports {
+            let to = view.dispatcher(&reported.crash.pool, &reported.crash.area);
+            if let Some(to) = to.filter(|to| *to != reported.to) {
+                sends.push(Send { to: to.clone(), message: message(&reported.crash) });
+                reported.to = to;
             }
         }
     }
 
     fn expire(&mut self, now: Micros) {
-        let is_old = |told: &Told| now > told.at + TOLD_FOR;
-        while self.told.len() >= MOST || self.told.front().is_some_and(is_old) {
-            self.told.pop_front();
+        let is_old = |reported: &Reported| now > reported.at + RETENTION;
+        while self.reports.len() >= MAX_CRASHES || self.reports.front().is_some_and(is_old) {
+            self.reports.pop_front();
         }
     }
 }
--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -1,4 +1,4 @@
-//! The asks an instance owns, and which dispatcher has each. Without I/O.
+//! The pending dispatch requests of an instance, and which dispatcher has each of them. Without I/O.
 
 mod answers;
 
@@ -10,7 +10,9 @@
 use drumusher_schedule::{ask::Id, time::Micros};
 use drumusher_wire::peer::{self, Message};
 
-use super::{Attempt, Crashes, Input, Delegations, DispatchRequest, Reply, Report, Send, View, wire};
+use super::{
+    Attempt, Crashes, Delegations, DispatchRequest, Input, Reply, Report, Send, View, wire,
+};
 use crate::{
     process::{
         clock,
@@ -20,171 +22,175 @@
     version::{Directory, Pool},
 };
 
-/// Time between two signs of life for a running attempt.
-const ALIVE_EVERY: u64 = drumusher_schedule::time::SECOND;
+/// Interval between keepalive reports of a running attempt, in microseconds.
+const KEEPALIVE_INTERVAL: u64 = drumusher_schedule::time::SECOND;
 
-/// A dispatcher answers an ask within this, if only that it waits. A quarter of the tightest target
-/// of today's classes (250 ms); an answer takes 2 ms between availability zones.
-const ANSWER_WITHIN: u64 = 60 * drumusher_schedule::time::MILLISECOND;
+/// Time within which a dispatcher has to answer an ask, if only with `Queued`, in microseconds. A quarter of the
+/// tightest latency target of a class (250 ms); an answer between availability zones takes 2 ms.
+const ANSWER_TIMEOUT: u64 = 60 * drumusher_schedule::time::MILLISECOND;
 
-/// An ask that is owned, and what became of it so far.
-struct Held {
-    own: DispatchRequest,
-    /// The dispatcher that was asked; `None` if there is none to ask.
+/// A request of this instance and its state.
+struct Pending {
+    request: DispatchRequest,
+    /// The dispatcher that has the request; `None` if there is no dispatcher.
     dispatcher: Option<Arc<str>>,
-    /// The backend server it was granted.
+    /// The granted backend server.
     server: Option<Arc<str>>,
+    /// Progress that was not sent yet.
     report: Option<Report>,
+    /// When progress was last sent.
     reported: u64,
     /// Whether it was sent to a dispatcher before.
-    asked: bool,
-    /// Since when the dispatcher owes an answer to the ask; `None` once it gave one.
-    owed: Option<u64>,
+    was_sent: bool,
+    /// Since when an answer of the dispatcher is awaited; `None` once it came.
+    awaiting_since: Option<u64>,
 }
 
-/// The asks this instance owns.
+/// The pending dispatch requests of this instance.
 pub struct Table {
-    held: HashMap<Id, Held>,
-    /// The asks of which the next batch of reports tells.
-    fresh: BTreeSet<Id>,
-    /// To which dispatchers this instance lends its part of the repeats.
-    loans: Delegations,
-    /// Backend servers that ended under requests of this instance lately.
+    pending: HashMap<Id, Pending>,
+    /// The requests with progress to be sent in the next batch.
+    unreported: BTreeSet<Id>,
+    /// Delegations of this instance's share of the retry budget.
+    delegations: Delegations,
+    /// Recent crashes of backend servers during requests of this instance.
     crashes: Crashes,
-    /// What backend servers said of themselves to this instance.
+    /// What backend servers announced to this instance.
     notices: Arc<Notices>,
     view: View,
 }
 
 impl Table {
-    /// An empty table of the instance that has this view of the others.
+    /// Creates an empty table with a view of the other instances.
     pub fn new(view: View) -> Self {
         Table {
-            held: HashMap::new(),
-            fresh: BTreeSet::new(),
-            loans: Delegations::new(),
+            pending: HashMap::new(),
+            unreported: BTreeSet::new(),
+            delegations: Delegations::new(),
             crashes: Crashes::default(),
             notices: Arc::default(),
             view,
         }
     }
 
-    /// Sets for how long repeats count.
+    /// Sets the window of the retry budget, in microseconds.
     pub fn with_window(mut self, window: Micros) -> Self {
-        self.loans = self.loans.with_window(window);
+        self.delegations = self.delegations.with_window(window);
         self
     }
 
-    /// Sets where it is noted what backend servers say of themselves, which new dispatchers are told.
+    /// Sets the notices of backend servers, which are passed on to new dispatchers.
     pub fn with_notices(mut self, notices: Arc<Notices>) -> Self {
         self.notices = notices;
         self
     }
 
-    /// The other instances as seen from here.
+    /// This instance's view of the other instances.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The absent instances that are to be tried now.
+    /// The unreachable instances to which a connection is to be tried now.
     pub fn due_reconnects(&mut self) -> Vec<Arc<str>> {
         self.view.due_reconnects(clock::now())
     }
 
-    /// How many asks are owned.
+    /// The number of pending requests.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.pending.len()
     }
 
-    /// Whether no ask is owned.
+    /// Whether no request is pending.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Takes what a request says.
+    /// Handles a message of a request.
     pub fn handle(&mut self, input: Input, sends: &mut Vec<Send>) {
         match input {
-            Input::Open(own) => self.open(*own, sends),
+            Input::Open(request) => self.open(*request, sends),
             Input::Finish(id, outcome, produced) => self.finish(id, outcome, produced, sends),
-            Input::Progress(id, report) => self.report(id, report),
+            Input::Progress(id, report) => self.record_progress(id, report),
             Input::Crash(crash) => self.crashes.add(clock::now(), *crash, &self.view, sends),
             Input::Notice(record) => self.notice(&record, sends),
             Input::Changed => {}
         }
     }
 
-    /// Tells the dispatcher that is asked for a pool what a backend server said of itself. One that is asked later is told
-    /// with the first ask.
+    /// Reports what a backend server announced to the pool's dispatcher in use. A later dispatcher gets it with the
+    /// first ask.
     fn notice(&self, record: &notices::Record, sends: &mut Vec<Send>) {
-        if let Some(to) = self.loans.asked(&record.pool) {
+        if let Some(to) = self.delegations.dispatcher(&record.pool) {
             let message = Message::Notice(wire::notice(record, clock::now()));
             sends.push(Send { to: to.clone(), message });
         }
     }
 
-    /// Owns an ask and sends it.
-    fn open(&mut self, own: DispatchRequest, sends: &mut Vec<Send>) {
-        let id = own.id;
-        let dispatcher = self.view.dispatcher(&own.pool, &own.area);
-        let held = Held {
-            own,
+    /// Adds a request and sends it to its dispatcher.
+    fn open(&mut self, request: DispatchRequest, sends: &mut Vec<Send>) {
+        let id = request.id;
+        let dispatcher = self.view.dispatcher(&request.pool, &request.area);
+        let pending = Pending {
+            request,
             dispatcher,
             server: None,
             report: None,
             reported: clock::now(),
-            asked: false,
-            owed: None,
+            was_sent: false,
+            awaiting_since: None,
         };
-        self.held.insert(id, held);
+        self.pending.insert(id, pending);
         self.ask(id, false, sends);
     }
 
-    /// Sends an ask to its dispatcher; refuses it if there is none.
+    /// Sends the ask of a request to its dispatcher; refuses the request if there is none.
     fn ask(&mut self, id: Id, redirected: bool, sends: &mut Vec<Send>) {
-        let Some(held) = self.held.get(&id) else {
+        let Some(pending) = self.pending.get(&id) else {
             return;
         };
-        let Some(to) = held.dispatcher.clone() else {
+        let Some(to) = pending.dispatcher.clone() else {
             let no_server = drumusher_schedule::order::Refusal::NoServer as i16;
             let second = drumusher_schedule::time::SECOND;
-            let _ = held.own.replies.try_send(Reply::Refuse(no_server, second));
-            self.held.remove(&id);
+            let _ = pending.request.replies.try_send(Reply::Refuse(no_server, second));
+            self.pending.remove(&id);
             return;
         };
-        let again = held.asked && held.own.attempt == Attempt::First;
-        let attempt = if again { Attempt::Resent } else { held.own.attempt };
+        let resent = pending.was_sent && pending.request.attempt == Attempt::First;
+        let attempt = if resent { Attempt::Resent } else { pending.request.attempt };
         let first = attempt == Attempt::First;
-        let offer = self.loans.delegate(clock::now(), &held.own.pool, &to, first);
-        let Some(held) = self.held.get_mut(&id) else {
+        let budget_report =
+            self.delegations.delegate(clock::now(), &pending.request.pool, &to, first);
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        let mut ask = wire::ask(&held.own, held.server.as_deref(), attempt, &offer);
-        held.asked = true;
-        held.owed = held.server.is_none().then(clock::now);
+        let mut ask =
+            wire::ask(&pending.request, pending.server.as_deref(), attempt, &budget_report);
+        pending.was_sent = true;
+        pending.awaiting_since = pending.server.is_none().then(clock::now);
         ask.redirected = redirected.then_some(true);
-        if offer.sent.is_some() {
+        if budget_report.sent.is_some() {
             let now = clock::now();
-            let known = self.notices.in_force_for(now, &held.own.pool);
+            let known = self.notices.in_force_for(now, &pending.request.pool);
             let known: Vec<_> = known.iter().map(|record| wire::notice(record, now)).collect();
             ask.notices = (!known.is_empty()).then_some(known);
         }
         sends.push(Send { to, message: Message::Ask(ask) });
     }
 
-    /// A request is over, or needs its grant no longer: its dispatcher is told.
+    /// Removes a request that ended or no longer needs its grant, and notifies its dispatcher.
     fn finish(&mut self, id: Id, outcome: i16, produced: u32, sends: &mut Vec<Send>) {
-        let Some(held) = self.held.remove(&id) else {
+        let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        self.fresh.remove(&id);
-        let Some(to) = held.dispatcher else {
+        self.unreported.remove(&id);
+        let Some(to) = pending.dispatcher else {
             return;
         };
-        let pool = held.own.pool.to_string();
+        let pool = pending.request.pool.to_string();
         let bytes = id::to_wire(id);
-        let message = match held.server {
+        let message = match pending.server {
             Some(_) => {
-                let report = held.report.unwrap_or_default();
+                let report = pending.report.unwrap_or_default();
                 let first = report.first_token.map(|time| time as i64);
                 let gap = (report.gap > 0).then_some(report.gap as i64);
                 Message::Finish(peer::Finish::new(
@@ -201,45 +207,45 @@
         sends.push(Send { to, message });
     }
 
-    fn report(&mut self, id: Id, report: Report) {
-        let Some(held) = self.held.get_mut(&id) else {
+    fn record_progress(&mut self, id: Id, report: Report) {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        let first_token = held.report.and_then(|r| r.first_token).or(report.first_token);
-        held.report = Some(Report { first_token, ..report });
-        held.own.produced = held.own.produced.max(report.produced);
-        self.fresh.insert(id);
+        let first_token = pending.report.and_then(|r| r.first_token).or(report.first_token);
+        pending.report = Some(Report { first_token, ..report });
+        pending.request.produced = pending.request.produced.max(report.produced);
+        self.unreported.insert(id);
     }
 
-    /// The batched reports due now, and signs of life for attempts that have nothing to report.
+    /// Sends the progress reports that are due, in batches, and keepalive reports for running attempts without
+    /// progress.
     pub fn reports(&mut self, sends: &mut Vec<Send>) {
         let now = clock::now();
-        let silent = self
-            .held
-            .iter()
-            .filter(|(_, held)| held.server.is_some() && now >= held.reported + ALIVE_EVERY);
+        let silent = self.pending.iter().filter(|(_, pending)| {
+            pending.server.is_some() && now >= pending.reported + KEEPALIVE_INTERVAL
+        });
         let due: Vec<Id> = silent.map(|(id, _)| *id).collect();
-        self.fresh.extend(due);
+        self.unreported.extend(due);
         let mut batches: HashMap<(Arc<str>, Pool), Vec<peer::Progress>> = HashMap::new();
-        for id in std::mem::take(&mut self.fresh) {
-            let Some(held) = self.held.get_mut(&id) else {
+        for id in std::mem::take(&mut self.unreported) {
+            let Some(pending) = self.pending.get_mut(&id) else {
                 continue;
             };
-            let Some(to) = held.dispatcher.clone() else {
+            let Some(to) = pending.dispatcher.clone() else {
                 continue;
             };
-            let report = held
+            let report = pending
                 .report
                 .take()
-                .unwrap_or(Report { produced: held.own.produced, ..Report::default() });
-            held.reported = now;
+                .unwrap_or(Report { produced: pending.request.produced, ..Report::default() });
+            pending.reported = now;
             let progress = peer::Progress::new(
                 id::to_wire(id),
                 report.produced as i32,
                 report.first_token.map(|time| time as i64),
                 (report.gap > 0).then_some(report.gap as i64),
             );
-            batches.entry((to, held.own.pool.clone())).or_default().push(progress);
+            batches.entry((to, pending.request.pool.clone())).or_default().push(progress);
         }
         for ((to, pool), reports) in batches {
             let batch = peer::ProgressBatch::new(pool.to_string(), reports);
@@ -247,80 +253,80 @@
         }
     }
 
-    /// Other instances that have owed an answer for longer than [`ANSWER_WITHIN`]. Their asks are
-    /// asked of the own dispatcher at once, which decides with what it knows.
+    /// Moves the requests of dispatchers that did not answer within [`ANSWER_TIMEOUT`] to the own dispatch thread,
+    /// which decides with what it knows. Returns these dispatchers.
     pub fn reassign_overdue(&mut self, sends: &mut Vec<Send>) -> BTreeSet<Arc<str>> {
         let now = clock::now();
         let mut silent = BTreeSet::new();
-        let mut owed = Vec::new();
-        for (id, held) in &self.held {
+        let mut overdue = Vec::new();
+        for (id, pending) in &self.pending {
             let Some(dispatcher) =
-                held.dispatcher.as_ref().filter(|name| *name != self.view.name())
+                pending.dispatcher.as_ref().filter(|name| *name != self.view.name())
             else {
                 continue;
             };
-            if held.owed.is_some_and(|since| now > since + ANSWER_WITHIN) {
+            if pending.awaiting_since.is_some_and(|since| now > since + ANSWER_TIMEOUT) {
                 silent.insert(dispatcher.clone());
-                owed.push(*id);
+                overdue.push(*id);
             }
         }
         let name = self.view.name().clone();
-        for id in owed {
+        for id in overdue {
             self.assign(id, Some(name.clone()), sends);
         }
         silent
     }
 
-    /// After a pause of the own process: nobody is blamed for what was not heard meanwhile.
+    /// Restarts the answer timeouts after a pause of the own process, during which answers could not be read.
     pub fn restart_answer_timers(&mut self) {
         let now = clock::now();
-        for held in self.held.values_mut() {
-            held.owed = held.owed.map(|_| now);
+        for pending in self.pending.values_mut() {
+            pending.awaiting_since = pending.awaiting_since.map(|_| now);
         }
     }
 
-    /// Takes a new directory.
+    /// Sets a new directory, and moves the requests whose dispatcher changes.
     pub fn set_directory(&mut self, directory: Arc<Directory>, sends: &mut Vec<Send>) {
         self.view.set_directory(directory);
         self.reassign(sends);
     }
 
-    /// An instance cannot be reached, or can again.
+    /// Records whether an instance is reachable.
     pub fn set_reachable(&mut self, instance: &Arc<str>, reachable: bool, sends: &mut Vec<Send>) {
         if reachable {
-            self.loans.connected(instance);
+            self.delegations.connected(instance);
         }
         if self.view.set_reachable(clock::now(), instance, reachable) {
             self.reassign(sends);
         }
     }
 
-    /// An instance says whether it is leaving.
+    /// Records whether an instance is leaving.
     pub fn set_leaving(&mut self, instance: &Arc<str>, leaving: bool, sends: &mut Vec<Send>) {
         if self.view.set_leaving(instance, leaving) {
             self.reassign(sends);
         }
     }
 
-    /// An instance says whether it reads the store and gets answers.
-    pub fn set_store_readable(&mut self, now: Micros, instance: &Arc<str>, reads: bool) {
-        self.view.set_store_readable(now, instance, reads);
+    /// Records whether an instance reads the store and gets answers.
+    pub fn set_store_readable(&mut self, now: Micros, instance: &Arc<str>, readable: bool) {
+        self.view.set_store_readable(now, instance, readable);
     }
 
-    /// The own instance is stopping: it hands its roles over.
+    /// Hands the roles of the own instance over, since it is stopping.
     pub fn stop(&mut self, sends: &mut Vec<Send>) {
         self.view.stop();
         self.reassign(sends);
     }
 
-    /// Moves each ask whose dispatcher changed: the new one is asked, or told of the running
-    /// grant, with the original arrival; the old one is told to forget it.
+    /// Moves each request whose dispatcher changed. The new dispatcher gets an ask with the original arrival time, and
+    /// with the granted server if the request runs; the old one gets a withdrawal.
     fn reassign(&mut self, sends: &mut Vec<Send>) {
         let mut owners: HashMap<(Pool, Arc<str>), Option<Arc<str>>> = HashMap::new();
-        let ids: Vec<Id> = self.held.keys().copied().collect();
+        let ids: Vec<Id> = self.pending.keys().copied().collect();
         for id in ids {
-            let own = &self.held[&id].own;
-            let place = (own.pool.clone(), own.area.clone());
+            let request = &self.pending[&id].request;
+            let place = (request.pool.clone(), request.area.clone());
             let owner = match owners.get(&place) {
                 Some(owner) => owner.clone(),
                 None => {
@@ -334,31 +340,30 @@
         self.crashes.reassign(clock::now(), &self.view, sends);
     }
 
-    /// Gives an ask to another dispatcher and tells the old one to forget it.
+    /// Moves a request to another dispatcher, and withdraws it from the old one.
     fn assign(&mut self, id: Id, owner: Option<Arc<str>>, sends: &mut Vec<Send>) {
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        if held.dispatcher == owner {
+        if pending.dispatcher == owner {
             return;
         }
-        let old = std::mem::replace(&mut held.dispatcher, owner);
+        let old = std::mem::replace(&mut pending.dispatcher, owner);
         if let Some(to) = old {
             let bytes = id::to_wire(id);
-            let withdraw = peer::Withdraw::new(bytes, held.own.pool.to_string());
+            let withdraw = peer::Withdraw::new(bytes, pending.request.pool.to_string());
             sends.push(Send { to, message: Message::Withdraw(withdraw) });
         }
-        if held.server.is_some() && held.dispatcher.is_none() {
+        if pending.server.is_some() && pending.dispatcher.is_none() {
             return;
         }
         self.ask(id, false, sends);
     }
 
-    /// Asks again whatever was asked of an instance whose connection broke but that can be reached
-    /// again.
+    /// Sends the asks of an instance again after its connection was lost and restored.
     pub fn resend(&mut self, instance: &Arc<str>, sends: &mut Vec<Send>) {
-        self.loans.connected(instance);
-        let asked = self.held.iter().filter(|(_, h)| h.dispatcher.as_ref() == Some(instance));
+        self.delegations.connected(instance);
+        let asked = self.pending.iter().filter(|(_, h)| h.dispatcher.as_ref() == Some(instance));
         let ids: Vec<Id> = asked.map(|(id, _)| *id).collect();
         for id in ids {
             self.ask(id, true, sends);
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -1,5 +1,4 @@
-//! The other instances as seen from here: which of them can be reached, and which have a role.
-//! Without I/O.
+//! This instance's view of the others: which are reachable, and which have a role. Without I/O.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,125 +12,127 @@
 
 use crate::version::{Directory, Instance, Pool};
 
-/// What instances are ranked for that read the store.
-const STORE: &str = "store";
-/// Instances that read the store. The store may turn a third of today's eight or nine instances away
-/// at once, and those that read it before others: with four, one is left that tells the rest.
+/// The key for ranking the instances that read the store.
+const STORE_RANKING: &str = "store";
+/// Number of instances that read the store and pass its records on. The store may reject a third of eight or nine
+/// instances at once, the current readers first: with four readers, one is left.
 const READERS: usize = 4;
-/// Shortest time between two trials to reach an instance: it is back within it after a short cut.
-const TRIAL_LEAST: Micros = 400 * MILLISECOND;
-/// Longest time between two trials. Instances that were replaced are listed for a while.
-const TRIAL_MOST: Micros = 15 * SECOND;
-/// The time between two trials is this part of the time that the instance has been out of reach.
-const TRIAL_PART: Micros = 8;
+/// Minimum interval between two attempts to reconnect to an instance. A short network outage is over within it.
+const MIN_RECONNECT_INTERVAL: Micros = 400 * MILLISECOND;
+/// Maximum interval between two attempts to reconnect: replaced instances stay listed for a while.
+const MAX_RECONNECT_INTERVAL: Micros = 15 * SECOND;
+/// The interval between two attempts to reconnect is the duration of the outage divided by this.
+const RECONNECT_DIVISOR: Micros = 8;
 
-/// One that got no answers of the store is asked again after this: it tries the store every 0.4 s.
-const UNREAD_FOR: Micros = 2 * SECOND;
+/// A reader that got no answers from the store is used again after this time: it tries the store every 0.4 s.
+const UNREADABLE_FOR: Micros = 2 * SECOND;
 
-/// Since when an instance cannot be reached, and when that was tried last.
+/// Since when an instance is unreachable, and when a connection was last tried.
 #[derive(Clone, Copy, Debug)]
-struct Absence {
+struct Outage {
     since: Micros,
     tried: Micros,
 }
 
-/// The instances as one of them sees them.
+/// The instances of the fleet as this one sees them.
 pub struct View {
     name: Arc<str>,
     area: Arc<str>,
-    /// The own processor time, in thousandths of a core.
+    /// The processor time of this instance, in thousandths of a core.
     capacity: u32,
     directory: Arc<Directory>,
-    /// Instances that cannot be reached now, by own experience.
-    absent: BTreeMap<Arc<str>, Absence>,
-    /// Instances that said they are leaving.
+    /// Instances to which this one has no connection.
+    unreachable: BTreeMap<Arc<str>, Outage>,
+    /// Instances that reported that they are leaving.
     leaving: BTreeSet<Arc<str>>,
-    /// Instances that said they get no answers of the store, and when.
-    unread: BTreeMap<Arc<str>, Micros>,
+    /// Instances that reported that they get no answers from the store, and when.
+    unreadable: BTreeMap<Arc<str>, Micros>,
     stopping: bool,
 }
 
 impl View {
-    /// The view of the instance `name`, which knows of no others.
+    /// Creates the view of the instance `name`, without other instances.
     pub fn new(name: Arc<str>, area: Arc<str>) -> Self {
         View {
             name,
             area,
             capacity: rank::CAPACITY,
             directory: Arc::default(),
-            absent: BTreeMap::new(),
+            unreachable: BTreeMap::new(),
             leaving: BTreeSet::new(),
-            unread: BTreeMap::new(),
+            unreadable: BTreeMap::new(),
             stopping: false,
         }
     }
 
-    /// Sets the own processor time, in thousandths of a core.
+    /// Sets the processor time of this instance, in thousandths of a core.
     pub fn with_capacity(mut self, capacity: u32) -> Self {
         self.capacity = capacity;
         self
     }
 
-    /// The own name.
+    /// The name of this instance.
     pub fn name(&self) -> &Arc<str> {
         &self.name
     }
 
-    /// Takes a new directory.
+    /// Sets a new directory, and forgets what is known of instances that it does not list.
     pub fn set_directory(&mut self, directory: Arc<Directory>) {
         let listed = &directory.instances;
-        self.absent.retain(|name, _| listed.contains_key(name));
+        self.unreachable.retain(|name, _| listed.contains_key(name));
         self.leaving.retain(|name| listed.contains_key(name));
-        self.unread.retain(|name, _| listed.contains_key(name));
+        self.unreadable.retain(|name, _| listed.contains_key(name));
         self.directory = directory;
     }
 
-    /// An instance cannot be reached, or can again. Returns whether that is new.
+    /// Records whether an instance is reachable. Returns whether that changed.
     pub fn set_reachable(&mut self, now: Micros, instance: &Arc<str>, reachable: bool) -> bool {
         if reachable {
-            return self.absent.remove(instance).is_some();
+            return self.unreachable.remove(instance).is_some();
         }
-        let absence = Absence { since: now, tried: now };
-        let known = self.absent.contains_key(instance);
-        self.absent.entry(instance.clone()).or_insert(absence);
+        let outage = Outage { since: now, tried: now };
+        let known = self.unreachable.contains_key(instance);
+        self.unreachable.entry(instance.clone()).or_insert(outage);
         !known
     }
 
-    /// An instance says whether it is leaving. Returns whether that is new.
+    /// Records whether an instance is leaving. Returns whether that changed.
     pub fn set_leaving(&mut self, instance: &Arc<str>, leaving: bool) -> bool {
         if leaving { self.leaving.insert(instance.clone()) } else { self.leaving.remove(instance) }
     }
 
-    /// The own instance is stopping: it has no role any more.
+    /// Records that this instance is stopping, so that it has no role any more.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether an instance cannot be reached now.
+    /// Whether an instance is unreachable.
     pub fn is_unreachable(&self, instance: &str) -> bool {
-        self.absent.contains_key(instance)
+        self.unreachable.contains_key(instance)
     }
 
-    /// The absent instances that are to be tried now. The longer one was out of reach, the rarer.
+    /// The unreachable instances to which a connection is to be tried now. The longer an outage lasts, the longer the
+    /// intervals become.
     pub fn due_reconnects(&mut self, now: Micros) -> Vec<Arc<str>> {
         let mut due = Vec::new();
-        for (name, absence) in &mut self.absent {
-            let pause = ((now - absence.since) / TRIAL_PART).clamp(TRIAL_LEAST, TRIAL_MOST);
-            if now >= absence.tried + pause {
-                absence.tried = now;
+        for (name, outage) in &mut self.unreachable {
+            let pause = ((now - outage.since) / RECONNECT_DIVISOR)
+                .clamp(MIN_RECONNECT_INTERVAL, MAX_RECONNECT_INTERVAL);
+            if now >= outage.tried + pause {
+                outage.tried = now;
                 due.push(name.clone());
             }
         }
         due
     }
 
-    /// The instances that have been out of reach for longer than `time`.
+    /// The instances that have been unreachable for longer than `time`.
     pub fn unreachable_for(&self, now: Micros, time: Micros) -> Vec<Arc<str>> {
-        let lost = self.absent.iter().filter(|(_, absence)| now > absence.since + time);
+        let lost = self.unreachable.iter().filter(|(_, outage)| now > outage.since + time);
         lost.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The other instances of an area that are listed.
+    /// The other listed instances of an area.
     fn others<'a>(&'a self, area: &'a str) -> impl Iterator<Item = &'a Instance> {
         let listed = self.directory.instances.values();
         listed.filter(move |instance| &*instance.area == area && instance.name != self.name)
@@ -140,8 +141,9 @@
     /// The instances that may have a role in an area.
     fn eligible<'a>(&'a self, area: &'a str) -> impl Iterator<Item = Candidate<'a>> {
         let others = self.others(area).filter(|instance| {
-            let gone = self.is_unreachable(&instance.name) || self.leaving.contains(&instance.name);
-            !instance.leaving && !gone
+            let unavailable =
+                self.is_unreachable(&instance.name) || self.leaving.contains(&instance.name);
+            !instance.leaving && !unavailable
         });
         let others =
             others.map(|instance| Candidate { name: &instance.name, capacity: instance.capacity });
@@ -157,46 +159,46 @@
         first.or_else(|| own_area.then(|| self.name.clone()))
     }
 
-    /// The instances that read the store and tell the others, first one first. One that is not listed
-    /// itself is none of them: where 295 instances start at once, the first ones of them see fewer than
-    /// [`READERS`] others, or nobody yet, and 250 read the store for nobody.
+    /// The instances that read the store and pass its records on to the others, by rank. This instance is one of them
+    /// only if it is listed: where 295 instances start at once, the first ones see fewer than [`READERS`] others, or
+    /// none, and 250 read the store for nobody.
     pub fn readers(&self) -> Vec<Arc<str>> {
         let listed = self.directory.instances.contains_key(&self.name);
         let candidates = self.eligible(&self.area);
         let candidates = candidates.filter(|candidate| listed || candidate.name != &*self.name);
-        let ranked = rank::order(STORE, candidates);
+        let ranked = rank::order(STORE_RANKING, candidates);
         ranked.into_iter().take(READERS).map(Arc::from).collect()
     }
 
-    /// The instance that reads the store and is to tell this one, unless this one reads it itself. The
-    /// readers share the work: telling all others at their start is more than one of them can send.
-    /// One that gets no answers is passed over while there is one that may.
+    /// The reader that passes the store's records on to this instance; `None` if this instance is a reader itself.
+    /// The readers share the other instances: sending to all of them at their start is more than one reader can do. A
+    /// reader that gets no answers from the store is skipped unless none gets any.
     pub fn assigned_reader(&self, now: Micros) -> Option<Arc<str>> {
         let readers = self.readers();
         if readers.contains(&self.name) {
             return None;
         }
         let names = readers.iter().map(|reader| &**reader);
-        let with_answers = names.clone().filter(|reader| !self.is_unread(now, reader));
+        let with_answers = names.clone().filter(|reader| !self.is_unreadable(now, reader));
         let first = rank::first(&self.name, with_answers);
         first.or_else(|| rank::first(&self.name, names)).map(Arc::from)
     }
 
-    /// Whether an instance said a short time ago that it gets no answers of the store.
-    fn is_unread(&self, now: Micros, instance: &str) -> bool {
-        self.unread.get(instance).is_some_and(|at| now < at + UNREAD_FOR)
+    /// Whether an instance reported lately that it gets no answers from the store.
+    fn is_unreadable(&self, now: Micros, instance: &str) -> bool {
+        self.unreadable.get(instance).is_some_and(|at| now < at + UNREADABLE_FOR)
     }
 
-    /// An instance says whether it reads the store and gets answers.
-    pub fn set_store_readable(&mut self, now: Micros, instance: &Arc<str>, reads: bool) {
-        if reads {
-            self.unread.remove(instance);
+    /// Records whether an instance reads the store and gets answers.
+    pub fn set_store_readable(&mut self, now: Micros, instance: &Arc<str>, readable: bool) {
+        if readable {
+            self.unreadable.remove(instance);
         } else {
-            self.unread.insert(instance.clone(), now);
+            self.unreadable.insert(instance.clone(), now);
         }
     }
 
-    /// How many instances of the own area are listed, and whether none of the others is reachable.
+    /// The number of listed instances in the own area, and whether none of the others is reachable.
     pub fn isolation(&self) -> (usize, bool) {
         let listed = 1 + self.others(&self.area).count();
         let reachable = self.others(&self.area).any(|other| !self.is_unreachable(&other.name));
--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -1,4 +1,4 @@
-//! What the broker knows as messages to other instances, and their messages as what it knows.
+//! Conversion between the broker's types and peer messages.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use drumusher_schedule::{ask::Part, time::Micros};
 use drumusher_wire::peer;
 
-use super::{Attempt, Grant, Offer, DispatchRequest};
+use super::{Attempt, BudgetReport, DispatchRequest, Grant};
 use crate::{
     process::{
         clock, counts,
@@ -15,35 +15,40 @@
     request::id,
 };
 
-/// An ask for its dispatcher, with what that is told of the repeats of this entry, and with the backend server it was
-/// granted, if it runs already.
-pub(super) fn ask(own: &DispatchRequest, server: Option<&str>, attempt: Attempt, offer: &Offer) -> peer::Ask {
+/// Encodes an ask for a dispatcher, with the report for the retry budget, and with the granted backend server if the
+/// request runs already.
+pub(super) fn ask(
+    request: &DispatchRequest,
+    server: Option<&str>,
+    attempt: Attempt,
+    budget_report: &BudgetReport,
+) -> peer::Ask {
     peer::Ask {
-        id: id::to_wire(own.id),
-        pool: own.pool.to_string(),
-        workspace: own.workspace.to_string(),
-        traffic_class: own.class.to_string(),
-        age: clock::now().saturating_sub(own.arrived) as i64,
-        prompt: own.prompt as i32,
-        prefix: (own.prefix != 0).then_some(own.prefix as i64),
-        produced: (own.produced != 0).then_some(own.produced as i32),
-        unrepeatable: (!own.repeatable).then_some(true),
-        preemptions: (own.preemptions != 0).then_some(i16::from(own.preemptions)),
-        avoid: own.avoid.as_ref().map(|name| name.to_string()),
+        id: id::to_wire(request.id),
+        pool: request.pool.to_string(),
+        workspace: request.workspace.to_string(),
+        traffic_class: request.class.to_string(),
+        age: clock::now().saturating_sub(request.arrived) as i64,
+        prompt: request.prompt as i32,
+        prefix: (request.prefix != 0).then_some(request.prefix as i64),
+        produced: (request.produced != 0).then_some(request.produced as i32),
+        unrepeatable: (!request.repeatable).then_some(true),
+        preemptions: (request.preemptions != 0).then_some(i16::from(request.preemptions)),
+        avoid: request.avoid.as_ref().map(|name| name.to_string()),
         server: server.map(String::from),
         redirected: None,
-        output: (own.output != 0).then_some(own.output as i32),
-        parts: (!own.parts.is_empty()).then(|| own.parts.iter().map(part).collect()),
+        output: (request.output != 0).then_some(request.output as i32),
+        parts: (!request.parts.is_empty()).then(|| request.parts.iter().map(part).collect()),
         attempt: Some(attempt as i16),
         lent: None,
-        spent: (offer.spent > 0).then_some(offer.spent),
-        digest: own.digest.map(Digest::to_wire),
-        sent: offer.sent.as_ref().map(|sent| sent.iter().map(count).collect()),
+        spent: (budget_report.spent > 0).then_some(budget_report.spent),
+        digest: request.digest.map(Digest::to_wire),
+        sent: budget_report.sent.as_ref().map(|sent| sent.iter().map(count).collect()),
         notices: None,
     }
 }
 
-/// What a backend server said of itself, for a dispatcher.
+/// Encodes what a backend server announced, for a dispatcher.
 pub(super) fn notice(record: &Record, now: Micros) -> peer::Notice {
     let age = |at: Micros| now.saturating_sub(at) as i64;
     let limit = record.limit.rate();
@@ -60,15 +65,15 @@
     }
 }
 
-fn count(part: &counts::Bucket) -> peer::Count {
-    peer::Count::new(part.age as i32, part.requests as i32, part.repeats as i32)
+fn count(bucket: &counts::Bucket) -> peer::Count {
+    peer::Count::new(bucket.age as i32, bucket.requests as i32, bucket.repeats as i32)
 }
 
 fn part(part: &Part) -> peer::Part {
     peer::Part::new(part.id as i64, part.tokens as i32)
 }
 
-/// A grant of the dispatcher `from`.
+/// Decodes a grant of the dispatcher `from`.
 pub(super) fn grant(grant: &peer::Grant, from: &Arc<str>) -> Grant {
     Grant {
         server: grant.server.as_str().into(),
--- a/crates/drumusher/src/process/counts.rs
+++ b/crates/drumusher/src/process/counts.rs
@@ -1,137 +1,138 @@
-//! Requests and repeats by the time at which they were sent, for the bound on repeats. Without I/O.
+//! Requests and retries in buckets of time, for the bound on retries. Without I/O.
 //!
-//! The bound is over any window of time: its repeats may be a share of the requests of that window, of the one before it
-//! or of the one half a window before, whichever has most, and a fixed number. Counts are kept in parts of the window. Of a
-//! part that lies in a window with an end alone all repeats count, and no request.
+//! The bound holds for any window of time: the retries of a window must not exceed a ratio of the requests of that
+//! window, of the window before it, or of the window that began half a window earlier, whichever has most, plus a
+//! fixed allowance. Of a bucket that overlaps a window only in part, all retries count and no requests.
 
 use std::collections::VecDeque;
 
 use drumusher_schedule::time::Micros;
 
-/// Parts of a window. With 20 of them a share is taken of 19 parts in 20 of the requests at least.
-const PARTS: u64 = 20;
+/// Buckets of a window. With 20 of them the ratio is taken of at least 19 in 20 of the requests.
+const BUCKETS: u64 = 20;
 
-/// What products of two numbers may be off by, with some thousands of requests.
+/// Upper bound of the rounding error of a ratio times some thousands of requests.
 const ROUNDING: f64 = 1e-6;
 
-/// What was counted in a part of a window.
+/// The counts of one bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bucket {
-    /// How many parts before the latest one it lies.
+    /// Age of the bucket, in buckets before the current one.
     pub age: u64,
-    /// Requests that were asked for the first time.
+    /// Requests, without their retries.
     pub requests: u32,
-    /// Repeats that were sent.
+    /// Retries that were sent.
     pub repeats: u32,
 }
 
 /// The counts of the latest two windows.
 #[derive(Clone, Debug)]
 pub struct Counts {
-    /// Length of a part.
+    /// Length of a bucket.
     length: Micros,
-    /// By the number of the part since the beginning of the clock.
-    parts: VecDeque<(u64, Bucket)>,
+    /// Buckets with their numbers since the start of the clock, oldest first.
+    buckets: VecDeque<(u64, Bucket)>,
 }
 
 impl Counts {
-    /// Nothing was counted yet; `window` is the window of the bound.
+    /// Creates empty counts; `window` is the window of the bound.
     pub fn new(window: Micros) -> Self {
-        Counts { length: (window / PARTS).max(1), parts: VecDeque::new() }
+        Counts { length: (window / BUCKETS).max(1), buckets: VecDeque::new() }
     }
 
     /// Counts a request.
     pub fn request(&mut self, now: Micros) {
-        self.part(now).requests += 1;
+        self.current_bucket(now).requests += 1;
     }
 
-    /// Counts repeats.
+    /// Counts retries.
     pub fn repeat(&mut self, now: Micros, count: u32) {
-        self.part(now).repeats += count;
+        self.current_bucket(now).repeats += count;
     }
 
-    /// Adds what others counted.
-    pub fn add(&mut self, now: Micros, other: &Counts) {
-        for part in other.told(now) {
-            self.bring(now, part);
+    /// Adds other counts.
+    pub fn merge(&mut self, now: Micros, other: &Counts) {
+        for bucket in other.recent(now) {
+            self.merge_bucket(now, bucket);
         }
     }
 
-    /// Adds a part that was counted elsewhere, unless it matters no more. Another instance may say anything.
-    pub fn bring(&mut self, now: Micros, part: Bucket) {
-        let age = Some(part.age).filter(|age| *age <= 2 * PARTS);
+    /// Adds a bucket that was counted elsewhere, unless it is too old. It may come from another instance with any
+    /// values.
+    pub fn merge_bucket(&mut self, now: Micros, bucket: Bucket) {
+        let age = Some(bucket.age).filter(|age| *age <= 2 * BUCKETS);
         let Some(number) = age.and_then(|age| self.number(now).checked_sub(age)) else { return };
-        let at = match self.parts.binary_search_by_key(&number, |(number, _)| *number) {
+        let at = match self.buckets.binary_search_by_key(&number, |(number, _)| *number) {
             Ok(at) => at,
             Err(at) => {
-                self.parts.insert(at, (number, Bucket::default()));
+                self.buckets.insert(at, (number, Bucket::default()));
                 at
             }
         };
-        let known = &mut self.parts[at].1;
-        known.requests = known.requests.saturating_add(part.requests);
-        known.repeats = known.repeats.saturating_add(part.repeats);
+        let known = &mut self.buckets[at].1;
+        known.requests = known.requests.saturating_add(bucket.requests);
+        known.repeats = known.repeats.saturating_add(bucket.repeats);
     }
 
-    /// The parts that may still matter, each with its age.
-    pub fn told(&self, now: Micros) -> impl Iterator<Item = Bucket> {
+    /// The buckets that still count, each with its age.
+    pub fn recent(&self, now: Micros) -> impl Iterator<Item = Bucket> {
         let number = self.number(now);
-        let kept = self.parts.iter().filter(move |(at, _)| at + 2 * PARTS >= number);
-        kept.map(move |(at, part)| Bucket { age: number.saturating_sub(*at), ..*part })
+        let kept = self.buckets.iter().filter(move |(at, _)| at + 2 * BUCKETS >= number);
+        kept.map(move |(at, bucket)| Bucket { age: number.saturating_sub(*at), ..*bucket })
     }
 
-    /// The most repeats, over all windows that are not over, beyond what their requests allow at `ratio` for each, rounded
-    /// up; below zero if there are fewer in each. What is rounded is less than one repeat, which the unused part of the
-    /// fixed number covers; without it a service of a few requests would have none of its share.
-    pub fn beyond(&self, now: Micros, ratio: f64) -> f64 {
-        // Counts of the parts of two windows and the present one, oldest first, and their sums up to each of them.
-        let mut requests = [0.0; 2 * PARTS as usize + 2];
+    /// The maximum, over all windows that are not over, of the retries beyond `ratio` times the requests; negative if
+    /// no window exceeds the ratio. The allowed number is rounded up, by less than one retry, which the unused part
+    /// of the fixed allowance covers; without it a service with few requests could not retry at all by its ratio.
+    pub fn excess(&self, now: Micros, ratio: f64) -> f64 {
+        // Prefix sums over the buckets of two windows and the current bucket, oldest first.
+        let mut requests = [0.0; 2 * BUCKETS as usize + 2];
         let mut repeats = requests;
-        let last = 2 * PARTS as usize;
-        for part in self.told(now) {
-            let at = last.saturating_sub(part.age as usize);
-            requests[at + 1] += f64::from(part.requests);
-            repeats[at + 1] += f64::from(part.repeats);
+        let last = 2 * BUCKETS as usize;
+        for bucket in self.recent(now) {
+            let at = last.saturating_sub(bucket.age as usize);
+            requests[at + 1] += f64::from(bucket.requests);
+            repeats[at + 1] += f64::from(bucket.repeats);
         }
         for at in 1..requests.len() {
             requests[at] += requests[at - 1];
             repeats[at] += repeats[at - 1];
         }
-        // The sum from a part to another one, both included.
+        // The sum from one bucket to another, both included.
         let sum = |sums: &[f64], from: usize, to: usize| {
             if from > to { 0.0 } else { sums[to.min(last) + 1] - sums[from] }
         };
-        let (window, half) = (PARTS as usize, PARTS as usize / 2);
-        let beyond = (last - window..=last).map(|first| {
+        let (window, half) = (BUCKETS as usize, BUCKETS as usize / 2);
+        let excess = (last - window..=last).map(|first| {
             let own = sum(&requests, first + 1, last);
             let half_before = sum(&requests, first + 1 - half, first + half - 1);
             let before = sum(&requests, first + 1 - window, first - 1);
             let share = ratio * own.max(half_before).max(before);
             sum(&repeats, first, last) - (share - ROUNDING).ceil()
         });
-        beyond.fold(f64::NEG_INFINITY, f64::max)
+        excess.fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Requests and repeats of the latest window.
+    /// Requests and retries of the latest window.
     pub fn latest(&self, now: Micros) -> (u32, u32) {
-        let latest = self.told(now).filter(|part| part.age <= PARTS);
-        latest.fold((0, 0), |sum, part| (sum.0 + part.requests, sum.1 + part.repeats))
+        let latest = self.recent(now).filter(|bucket| bucket.age <= BUCKETS);
+        latest.fold((0, 0), |sum, bucket| (sum.0 + bucket.requests, sum.1 + bucket.repeats))
     }
 
-    /// The number of the part that `now` falls in.
+    /// The number of the bucket that `now` falls into.
     fn number(&self, now: Micros) -> u64 {
         now / self.length
     }
 
-    /// The part that `now` falls in; those that matter no more are dropped.
-    fn part(&mut self, now: Micros) -> &mut Bucket {
+    /// The bucket that `now` falls into. Drops the buckets that no longer count.
+    fn current_bucket(&mut self, now: Micros) -> &mut Bucket {
         let number = self.number(now);
-        while self.parts.front().is_some_and(|(at, _)| at + 2 * PARTS < number) {
-            self.parts.pop_front();
+        while self.buckets.front().is_some_and(|(at, _)| at + 2 * BUCKETS < number) {
+            self.buckets.pop_front();
         }
-        if self.parts.back().is_none_or(|(at, _)| *at < number) {
-            self.parts.push_back((number, Bucket::default()));
+        if self.buckets.back().is_none_or(|(at, _)| *at < number) {
+            self.buckets.push_back((number, Bucket::default()));
         }
-        &mut self.parts.back_mut().expect("a part was just entered").1
+        &mut self.buckets.back_mut().expect("a bucket was just added").1
     }
 }
--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -1,34 +1,37 @@
-//! The dispatch thread: the pools this instance dispatches.
+//! The dispatch thread: schedules the requests of all pools that this instance dispatches.
 //!
-//! | module | duty |
+//! An *entry* is the instance that took a request from its caller. It sends an `Ask` message to the dispatcher of the
+//! pool, which answers with the backend server that is to run the request.
+//!
+//! | module | contents |
 //! |---|---|
-//! | `askers` | for whom a pool is dispatched |
-//! | `asks` | asks of entries, as they come |
-//! | `budget` | repeats that may still be granted |
-//! | `notices` | what backend servers said of themselves, as all entries tell it |
-//! | `orders` | carrying out what the decisions order |
+//! | `asks` | `Ask` messages: retry budget, quarantine, submission to the scheduler |
+//! | `budget` | the retry budget of a pool |
 //! | `health` | log lines on the health of backend servers |
-//! | `host` | one pool with the names of its backend servers |
-//! | `suspects` | requests that end backend servers: who is tried, who is held back |
-//! | `tally` | requests that began to run, and how many run or wait, for the duties |
-//! | `trials` | those that run apart from each other |
-//! | `wire` | messages between instances as events, orders as messages |
+//! | `hosted_pool` | the state of one pool: scheduler, names of backend servers, budget, trials |
+//! | `notices` | limits, rests and departures that backend servers announced to any entry |
+//! | `orders` | execution of the scheduler's orders |
+//! | `requesters` | the other instances that use this dispatcher |
+//! | `suspects` | requests that may crash backend servers: trial runs and quarantine |
+//! | `trials` | the trial runs of a pool, isolated from each other |
+//! | `usage` | counts of started requests for usage reports, and the load for autoscaling |
+//! | `wire` | conversion between peer messages and scheduler types |
 
-mod askers;
 mod asks;
 mod budget;
 mod health;
-mod host;
+mod hosted_pool;
 mod notices;
 mod orders;
+mod requesters;
 mod suspects;
-mod tally;
 mod trials;
+mod usage;
 mod wire;
 
-pub use askers::Requesters;
 pub use budget::{Bound, Budget};
-pub use host::HostedPool;
+pub use hosted_pool::HostedPool;
+pub use requesters::Requesters;
 pub use trials::Trials;
 
 use std::{
@@ -55,25 +58,25 @@
     version::{Backend, Pool},
 };
 
-/// The instance's own entry; those of connections are their numbers, from 1.
+/// This instance as an entry. Entries of other instances have the number of their connection, from 1.
 pub const LOCAL_ENTRY: Entry = Entry(0);
-/// Places in the ring.
-const RING: usize = 65_536;
-/// How long a pool is kept that nobody asks for.
-const IDLE: u64 = 60 * drumusher_schedule::time::SECOND;
-/// What stands on the wire for all of the repeats that were lent.
-pub(super) const SPENT_WHOLE: f64 = 1_000.0;
-/// By how much an instance divides each window of requests: the number of instances of its area
-/// while all others are out of reach, else 1.
+/// Capacity of the ring, in messages.
+const RING_CAPACITY: usize = 65_536;
+/// A pool without requests is dropped after this time, in microseconds.
+const IDLE_TIMEOUT: u64 = 60 * drumusher_schedule::time::SECOND;
+/// The peer messages carry shares of the retry budget in thousandths.
+pub(super) const SPENT_SCALE: f64 = 1_000.0;
+/// Divisor of the concurrency window of each backend server: the number of instances in the area while all others
+/// are unreachable, so that isolated instances don't overload the backend servers together; else 1.
 pub type Divisor = u32;
 
-/// What the dispatch thread is told.
+/// A message to the dispatch thread.
 pub enum Input {
-    /// A message of an entry.
+    /// A peer message from an entry.
     Message(Entry, Box<Message>),
-    /// An entry is gone.
+    /// The connection with an entry ended.
     Disconnected(Entry),
-    /// Configuration or directory changed.
+    /// The configuration or the directory of backend servers changed.
     Changed,
     /// A load report of a backend server.
     Load {
@@ -81,34 +84,35 @@
         pool: Pool,
         /// The backend server.
         server: Arc<str>,
-        /// What it said; `None` if it is leaving by its own word.
+        /// The report; `None` if the backend server announced that it is leaving.
         report: Option<Report>,
     },
-    /// What an engine says that it keeps.
+    /// The prompt parts that an engine reports to have in its cache.
     CachedParts {
         /// The pool.
         pool: Pool,
         /// The engine.
         server: Arc<str>,
-        /// Parts of prompts.
+        /// Identifiers of the prompt parts.
         parts: Vec<u64>,
     },
-    /// The instances of the area among which capacity is divided while they cannot be reached.
+    /// Sets the divisor of the concurrency windows.
     SetDivisor(Divisor),
-    /// Rows of a table for an operator.
+    /// Requests the rows of a table for an operator's query.
     Rows(rows::Source, async_channel::Sender<Vec<Row>>),
 }
 
-/// A load report on the process's own clock.
+/// A load report of a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Report {
-    /// Its age in microseconds.
+    /// Age of the report in microseconds.
     pub age: u64,
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
     pub waiting: u32,
-    /// For how many microseconds the backend server takes no more, if it said so; 0 if it did not say how long.
+    /// If the backend server reported that it is full: for how many microseconds it accepts no more requests, or 0 if
+    /// it gave no time.
     pub full: Option<u64>,
 }
 
@@ -116,51 +120,51 @@
 pub type Sender = ring::Sender<Input>;
 /// The receiving end of the dispatch ring.
 pub type Receiver = ring::Receiver<Input>;
-/// To the entries: the peers thread hands each message on.
+/// Channel for messages to entries; the peers thread forwards them.
 pub type Replies = ring::TaskSender<(Entry, Message)>;
 
-/// The dispatch ring.
+/// Creates the dispatch ring.
 pub fn ring() -> (Sender, Receiver) {
-    ring::to_thread(RING)
+    ring::to_thread(RING_CAPACITY)
 }
 
-/// All pools this instance dispatches.
-struct Dispatch {
+/// State of the dispatch thread.
+struct Dispatcher {
     shared: Arc<Shared>,
     replies: Replies,
-    hosts: HashMap<Pool, HostedPool>,
-    divide: Divisor,
+    pools: HashMap<Pool, HostedPool>,
+    divisor: Divisor,
     orders: Vec<Order>,
     unsent: VecDeque<(Entry, Message)>,
 }
 
-/// Runs the dispatch thread until its ring is closed.
+/// Runs the dispatch thread until all senders of its ring are dropped.
 pub fn run(shared: Arc<Shared>, receiver: Receiver, replies: Replies) {
     let orders = Vec::new();
-    let (hosts, unsent) = (HashMap::new(), VecDeque::new());
-    let mut dispatch = Dispatch { shared, replies, hosts, divide: 1, orders, unsent };
+    let (pools, unsent) = (HashMap::new(), VecDeque::new());
+    let mut dispatcher = Dispatcher { shared, replies, pools, divisor: 1, orders, unsent };
     let tick = Duration::from_micros(pool::TICK);
     loop {
         match receiver.recv_timeout(tick) {
-            Ok(input) => dispatch.take(input),
+            Ok(input) => dispatcher.handle_input(input),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        dispatch.tick();
+        dispatcher.tick();
     }
 }
 
-impl Dispatch {
-    fn take(&mut self, input: Input) {
+impl Dispatcher {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Message(entry, message) => self.message(entry, *message),
-            Input::Disconnected(entry) => self.gone(entry),
-            Input::Changed => self.changed(),
-            Input::Load { pool, server, report } => self.load(&pool, &server, report),
-            Input::CachedParts { pool, server, parts } => self.kept(&pool, &server, parts),
+            Input::Message(entry, message) => self.handle_message(entry, *message),
+            Input::Disconnected(entry) => self.entry_disconnected(entry),
+            Input::Changed => self.configuration_changed(),
+            Input::Load { pool, server, report } => self.load_report(&pool, &server, report),
+            Input::CachedParts { pool, server, parts } => self.cached_parts(&pool, &server, parts),
             Input::SetDivisor(divisor) => {
-                self.divide = divisor.max(1);
-                self.changed();
+                self.divisor = divisor.max(1);
+                self.configuration_changed();
             }
             Input::Rows(source, reply) => {
                 let _ = reply.try_send(self.rows(source));
@@ -168,188 +172,189 @@
         }
     }
 
-    fn message(&mut self, entry: Entry, message: Message) {
+    fn handle_message(&mut self, entry: Entry, message: Message) {
         match message {
-            Message::Ask(ask) => self.ask(entry, ask),
+            Message::Ask(ask) => self.handle_ask(entry, ask),
             Message::Withdraw(withdraw) => {
                 let Some(id) = id::from_wire(&withdraw.id) else { return };
-                self.at(&withdraw.pool, Event::Withdraw(id));
+                self.handle_named(&withdraw.pool, Event::Withdraw(id));
                 if let Some(pool) = Pool::parse(&withdraw.pool) {
-                    self.end_suspect(&pool, id, Outcome::Cancelled);
+                    self.attempt_ended(&pool, id, Outcome::Cancelled);
                 }
             }
-            Message::Crash(crash) => self.crashed(&crash),
-            Message::Notice(notice) => self.noticed(entry, &notice),
-            Message::Progress(batch) => self.progress(&batch),
-            Message::Finish(finish) => self.finish(&finish),
+            Message::Crash(crash) => self.handle_crash(&crash),
+            Message::Notice(notice) => self.handle_notice(entry, &notice),
+            Message::Progress(batch) => self.handle_progress(&batch),
+            Message::Finish(finish) => self.handle_finish(&finish),
             _ => {}
         }
     }
 
-    fn gone(&mut self, entry: Entry) {
+    fn entry_disconnected(&mut self, entry: Entry) {
         let now = clock::now();
         let instances = self.shared.directory.load().instances.len();
-        for host in self.hosts.values_mut() {
-            host.askers.remove(entry);
-            host.budget.remove(now, entry, instances);
-            host.trials.gone(entry);
+        for hosted in self.pools.values_mut() {
+            hosted.requesters.remove(entry);
+            hosted.budget.remove(now, entry, instances);
+            hosted.trials.entry_disconnected(entry);
         }
-        self.each(|_| Event::EntryGone(entry));
+        self.handle_all(|_| Event::EntryGone(entry));
     }
 
-    /// The end of an attempt, with what was not reported on it yet.
-    fn finish(&mut self, finish: &peer::Finish) {
+    /// Handles the end of an attempt, with the progress that was not reported before.
+    fn handle_finish(&mut self, finish: &peer::Finish) {
         let Some(id) = id::from_wire(&finish.id) else {
             return;
         };
         let produced = finish.produced.max(0) as u32;
         let outcome = wire::outcome(finish.outcome);
         if finish.first_token.is_some() {
-            self.count_begun(&finish.pool, id);
+            self.count_started(&finish.pool, id);
         } else {
             self.count_ended(&finish.pool, id, outcome);
         }
         if finish.first_token.is_some() || finish.gap.is_some() {
             let progress = wire::progress(id, produced, finish.first_token, finish.gap);
-            self.at(&finish.pool, Event::Progress(progress));
+            self.handle_named(&finish.pool, Event::Progress(progress));
         }
         let event = Event::Finish(id, outcome, produced);
-        self.at(&finish.pool, event);
+        self.handle_named(&finish.pool, event);
         if let Some(pool) = Pool::parse(&finish.pool) {
-            self.end_suspect(&pool, id, outcome);
+            self.attempt_ended(&pool, id, outcome);
         }
     }
 
-    fn progress(&mut self, batch: &peer::ProgressBatch) {
+    fn handle_progress(&mut self, batch: &peer::ProgressBatch) {
         for report in &batch.reports {
             let Some(id) = id::from_wire(&report.id) else {
                 continue;
             };
             if report.first_token.is_some() {
-                self.count_begun(&batch.pool, id);
-                self.begun_suspect(&batch.pool, id);
+                self.count_started(&batch.pool, id);
+                self.trial_started(&batch.pool, id);
             }
             let produced = report.produced.max(0) as u32;
             let progress = wire::progress(id, produced, report.first_token, report.gap);
-            self.at(&batch.pool, Event::Progress(progress));
+            self.handle_named(&batch.pool, Event::Progress(progress));
         }
     }
 
-    fn at(&mut self, pool: &str, event: Event) {
+    fn handle_named(&mut self, pool: &str, event: Event) {
         if let Some(pool) = Pool::parse(pool) {
             self.handle(&pool, event);
         }
     }
 
     fn handle(&mut self, pool: &Pool, event: Event) {
-        let Some(host) = self.hosts.get_mut(pool) else {
+        let Some(hosted) = self.pools.get_mut(pool) else {
             return;
         };
         let now = clock::now();
-        host.used = now;
-        host.pool.handle(now, event, &mut self.orders);
-        self.send(pool);
+        hosted.last_used = now;
+        hosted.scheduler.handle(now, event, &mut self.orders);
+        self.send_orders(pool);
     }
 
-    fn each(&mut self, event: impl Fn(&Pool) -> Event) {
-        let pools: Vec<Pool> = self.hosts.keys().cloned().collect();
+    fn handle_all(&mut self, event: impl Fn(&Pool) -> Event) {
+        let pools: Vec<Pool> = self.pools.keys().cloned().collect();
         for pool in pools {
             let event = event(&pool);
-            let Some(host) = self.hosts.get_mut(&pool) else {
+            let Some(hosted) = self.pools.get_mut(&pool) else {
                 continue;
             };
-            host.pool.handle(clock::now(), event, &mut self.orders);
-            self.send(&pool);
+            hosted.scheduler.handle(clock::now(), event, &mut self.orders);
+            self.send_orders(&pool);
         }
     }
 
     fn tick(&mut self) {
         self.flush();
-        self.each(|_| Event::Tick);
-        self.note_busy();
+        self.handle_all(|_| Event::Tick);
+        self.record_load();
         let now = clock::now();
-        for (pool, host) in &mut self.hosts {
-            host.log_health(pool, now);
-            host.askers.expire(now);
-            host.forget_ended();
+        for (pool, hosted) in &mut self.pools {
+            hosted.log_health(pool, now);
+            hosted.requesters.expire(now);
+            hosted.remove_ended();
         }
-        let pools: Vec<Pool> = self.hosts.keys().cloned().collect();
-        pools.iter().for_each(|pool| self.try_waiting(pool));
-        self.look_at_limits();
-        let before = self.hosts.len();
-        self.hosts.retain(|_, host| {
-            let busy = host.pool.waiting() + host.pool.running() > 0;
-            busy || now < host.used + IDLE
+        let pools: Vec<Pool> = self.pools.keys().cloned().collect();
+        pools.iter().for_each(|pool| self.admit_waiting(pool));
+        self.update_due_rates();
+        let before = self.pools.len();
+        self.pools.retain(|_, hosted| {
+            let busy = hosted.scheduler.waiting() + hosted.scheduler.running() > 0;
+            busy || now < hosted.last_used + IDLE_TIMEOUT
         });
-        if self.hosts.len() != before {
-            self.publish();
+        if self.pools.len() != before {
+            self.publish_hosted();
         }
         self.publish_led();
     }
 
-    /// Tells the platform thread whose load reports are wanted.
-    fn publish(&self) {
-        self.shared.hosted.store(Arc::new(self.hosts.keys().cloned().collect()));
+    /// Publishes the dispatched pools; the platform thread polls the load of their backend servers.
+    fn publish_hosted(&self) {
+        self.shared.hosted.store(Arc::new(self.pools.keys().cloned().collect()));
     }
 
-    /// Tells the platform thread which pools are dispatched for others, if that changed.
+    /// Publishes which pools are dispatched for other instances, if that changed.
     fn publish_led(&self) {
         let instances = self.shared.directory.load().instances.len();
-        let led = self.hosts.iter().filter(|(_, host)| host.askers.serves_others(instances));
+        let led =
+            self.pools.iter().filter(|(_, hosted)| hosted.requesters.serves_others(instances));
         let led: BTreeSet<Pool> = led.map(|(pool, _)| pool.clone()).collect();
         if **self.shared.led.load() != led {
             self.shared.led.store(Arc::new(led));
         }
     }
 
-    fn host(&mut self, pool: &Pool) {
-        if self.hosts.contains_key(pool) {
+    fn ensure_pool(&mut self, pool: &Pool) {
+        if self.pools.contains_key(pool) {
             return;
         }
         let policy = self.shared.version.load().policy.clone();
-        let host = HostedPool::new(policy, clock::now(), bound(&self.shared.settings));
-        self.hosts.insert(pool.clone(), host);
-        self.publish();
-        self.refresh(pool);
+        let hosted = HostedPool::new(policy, clock::now(), bound(&self.shared.settings));
+        self.pools.insert(pool.clone(), hosted);
+        self.publish_hosted();
+        self.refresh_servers(pool);
     }
 
-    fn changed(&mut self) {
+    fn configuration_changed(&mut self) {
         let policy = self.shared.version.load().policy.clone();
-        self.each(|_| Event::Policy(policy.clone()));
-        let pools: Vec<Pool> = self.hosts.keys().cloned().collect();
+        self.handle_all(|_| Event::Policy(policy.clone()));
+        let pools: Vec<Pool> = self.pools.keys().cloned().collect();
         for pool in pools {
-            self.refresh(&pool);
+            self.refresh_servers(&pool);
         }
     }
 
-    /// Brings a pool's backend servers in line with the directory.
-    fn refresh(&mut self, pool: &Pool) {
+    /// Updates the backend servers of a pool from the directory.
+    fn refresh_servers(&mut self, pool: &Pool) {
         let directory = self.shared.directory.load_full();
         let backends = directory.backends(pool, &self.shared.area);
         let wanted: BTreeMap<Arc<str>, &Backend> = backends.map(|b| (b.name.clone(), b)).collect();
         let learned = self.shared.version.load().policy.switches.windows;
-        let Some(host) = self.hosts.get_mut(pool) else {
+        let Some(hosted) = self.pools.get_mut(pool) else {
             return;
         };
-        for event in host.refresh(&pool.to_string(), &wanted, learned, self.divide) {
+        for event in hosted.refresh(&pool.to_string(), &wanted, learned, self.divisor) {
             self.handle(pool, event);
         }
     }
 
-    fn load(&mut self, pool: &Pool, server: &str, report: Option<Report>) {
-        let Some(host) = self.hosts.get_mut(pool) else {
+    fn load_report(&mut self, pool: &Pool, server: &str, report: Option<Report>) {
+        let Some(hosted) = self.pools.get_mut(pool) else {
             return;
         };
-        let Some(key) = host.known.get(server).copied() else {
+        let Some(key) = hosted.keys.get(server).copied() else {
             return;
         };
         let Some(report) = report else {
-            host.own_word.insert(server.into(), clock::now());
-            self.refresh(pool);
+            hosted.reported_leaving.insert(server.into(), clock::now());
+            self.refresh_servers(pool);
             return;
         };
-        if host.own_word.remove(server).is_some() {
-            self.refresh(pool);
+        if hosted.reported_leaving.remove(server).is_some() {
+            self.refresh_servers(pool);
         }
         let load = Load {
             server: key,
@@ -361,8 +366,8 @@
         self.handle(pool, Event::Load(load));
     }
 
-    fn kept(&mut self, pool: &Pool, server: &str, parts: Vec<u64>) {
-        let key = self.hosts.get(pool).and_then(|host| host.known.get(server).copied());
+    fn cached_parts(&mut self, pool: &Pool, server: &str, parts: Vec<u64>) {
+        let key = self.pools.get(pool).and_then(|hosted| hosted.keys.get(server).copied());
         if let Some(key) = key {
             log::info!(server = server, parts = parts.len(); "an engine told what it keeps");
             self.handle(pool, Event::Kept(key, parts));
@@ -372,14 +377,14 @@
     fn rows(&self, source: rows::Source) -> Vec<Row> {
         let version = self.shared.version.load();
         let mut rows = Vec::new();
-        for (pool, host) in &self.hosts {
-            rows::of_pool(source, pool, &host.pool, &host.names, &version, &mut rows);
+        for (pool, hosted) in &self.pools {
+            rows::of_pool(source, pool, &hosted.scheduler, &hosted.names, &version, &mut rows);
         }
         rows
     }
 }
 
-/// The bound on repeats that the settings give.
+/// The bound on retries from the settings.
 fn bound(settings: &Settings) -> Bound {
     let repeats = &settings.repeats;
     Bound { ratio: repeats.ratio, slack: repeats.slack, window: repeats.window_ms * MILLISECOND }
--- a/crates/drumusher/src/process/dispatch/budget.rs
+++ b/crates/drumusher/src/process/dispatch/budget.rs
@@ -1,19 +1,20 @@
-//! Repeats that a dispatcher may still grant. Without I/O.
+//! The fleet-wide retry budget of a pool, as its dispatcher keeps it. Without I/O.
 //!
-//! All instances together may send a service, in any window of time, so many repeats: a share of the requests for it and
-//! a fixed number on top. Every request asks its dispatcher for a backend server, and so does every repeat; the
-//! dispatcher counts a request as it comes, and a repeat as it is granted, since it may wait for that. Until then its
-//! place is reserved.
+//! In any window of time, all instances together may send a service a limited number of retries: a ratio of its
+//! requests plus a fixed allowance. Every request and every retry goes through the dispatcher, which counts a request
+//! when it arrives and a retry when it is granted, since a retry may wait for its grant. Until then its place is
+//! reserved.
 //!
-//! Dispatchers change hands, and the fleet may be divided between several. So each instance counts what it sends itself,
-//! and brings that along to a dispatcher that does not know it: what all who ask sent is known there, whoever granted it.
+//! The dispatcher of a pool may change, and a partitioned fleet may have several. So each instance counts what it sent
+//! and passes the counts on to a dispatcher that does not know them: a dispatcher knows what all of its instances sent,
+//! whichever dispatcher granted it.
 //!
-//! Of the fixed number each instance has an equal part, which it lends to the dispatcher that it asks. Instances that ask
-//! another one may have spent it there. A dispatcher tells with each grant how much of what was lent to it is spent; an
-//! instance that turns to another one tells that one how much of its part is gone, until it no longer counts.
+//! Each instance owns an equal share of the fixed allowance and delegates it to the dispatcher that it uses. A
+//! dispatcher reports with each grant how much of the delegated shares is spent. An instance that changes its
+//! dispatcher tells the new one how much of its share was spent elsewhere, until that spending leaves the window.
 //!
-//! Equal parts that nobody adds up are too small to be of use: of 630 repeats in 10 s each of 295 instances
-//! has two, also those that need none. Added up, one instance may use 504 (`unit::budget`).
+//! Equal shares that are not pooled are too small: of 630 retries in 10 s, each of 295 instances has two, including
+//! those that need none. Pooled, one instance may use 504 (see the tests in `unit::budget`).
 
 use std::collections::HashMap;
 
@@ -22,114 +23,121 @@
     time::{MILLISECOND, Micros},
 };
 
-use crate::process::counts::{Counts, Bucket};
+use crate::process::counts::{Bucket, Counts};
 
-/// Part of the fixed number that is used. What an instance that turned away from a dispatcher had lent may
-/// be spent there for as long as [`LENT_FOR`] says, and what instances believe about how many there are
-/// may differ for a moment.
+/// Fraction of the fixed allowance that is used. The rest covers two cases: a former dispatcher may spend the share of
+/// an instance for a while after it changed its dispatcher (see [`DELEGATION_DIVISOR`]), and instances may briefly
+/// differ in how many instances they count.
 const SLACK_USED: f64 = 0.8;
-/// An instance that did not ask for this part of the window may have lent its part to another one.
-const LENT_FOR: u64 = 5;
-/// How long a sum over all instances is used again.
-const SUM_FOR: Micros = 50 * MILLISECOND;
+/// An instance that sent nothing for the window divided by this may have delegated its share to another dispatcher.
+const DELEGATION_DIVISOR: u64 = 5;
+/// How long the sums over all instances are cached.
+const SUMS_MAX_AGE: Micros = 50 * MILLISECOND;
 
-/// The bound on repeats.
+/// The bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Repeats for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats on top, of all instances together.
+    /// The fixed allowance: retries that all instances together may send beyond the ratio.
     pub slack: f64,
-    /// The window of time.
+    /// The window of time, in microseconds.
     pub window: Micros,
 }
 
-/// An instance that asks.
+/// An instance that uses this dispatcher.
 #[derive(Clone, Debug)]
 struct Account {
-    /// When it asked last.
-    asked: Micros,
-    /// Its repeats for which a place is reserved.
+    /// When its latest request or retry arrived.
+    latest: Micros,
+    /// Its retries with a reserved place.
     reserved: u32,
-    /// How much of its part of the fixed number is spent elsewhere, of 1.
+    /// Fraction of its share of the fixed allowance that is spent elsewhere, 0 to 1.
     spent: f64,
-    /// What it sent, whoever granted it.
+    /// What it sent, whichever dispatcher granted it.
     counts: Counts,
 }
 
-/// The sums over all instances that ask.
+/// Sums over all instances that use this dispatcher.
 #[derive(Clone, Debug)]
 struct Sums {
+    /// When the sums were computed.
     at: Micros,
-    /// What they sent.
+    /// What the instances sent.
     counts: Counts,
-    /// What they lend, in parts of one instance, without what is spent elsewhere.
+    /// The delegated shares, in shares of one instance, less what is spent elsewhere.
     left: f64,
-    /// The same with it.
-    whole: f64,
+    /// The delegated shares including what is spent elsewhere.
+    total: f64,
 }
 
-/// The requests and repeats of one service, as its dispatcher counts them.
+/// The retry budget of one pool.
 #[derive(Debug)]
 pub struct Budget {
     bound: Bound,
     accounts: HashMap<Entry, Account>,
-    /// What was asked for and granted here.
-    here: Counts,
-    /// Repeats beyond their own part of instances that are gone.
-    gone: Counts,
-    /// Repeats that may be granted and are not yet.
+    /// Requests that arrived at this dispatcher, and retries that it granted.
+    local: Counts,
+    /// Retries that disconnected instances sent beyond their own share.
+    departed: Counts,
+    /// Retries with a reserved place that are not granted yet.
     reserved: u32,
     sums: Option<Sums>,
 }
 
 impl Budget {
-    /// Nobody asked yet.
+    /// Creates a budget that no instance uses yet.
     pub fn new(bound: Bound) -> Self {
-        let (here, gone) = (Counts::new(bound.window), Counts::new(bound.window));
-        Budget { bound, accounts: HashMap::new(), here, gone, reserved: 0, sums: None }
+        let (local, departed) = (Counts::new(bound.window), Counts::new(bound.window));
+        Budget { bound, accounts: HashMap::new(), local, departed, reserved: 0, sums: None }
     }
 
-    /// An instance asks, of whose part `spent` of 1 is gone elsewhere.
+    /// Records that an instance delegates its share, of which the fraction `spent` (0 to 1) is spent elsewhere.
     pub fn delegate(&mut self, now: Micros, entry: Entry, spent: f64) {
         let window = self.bound.window;
         let counts = || Counts::new(window);
-        let fresh = || Account { asked: now, reserved: 0, spent: 0.0, counts: counts() };
+        let fresh = || Account { latest: now, reserved: 0, spent: 0.0, counts: counts() };
         let known = self.accounts.contains_key(&entry);
         let account = self.accounts.entry(entry).or_insert_with(fresh);
         let spent = spent.clamp(0.0, 1.0);
         if !known || account.spent != spent {
             self.sums = None;
         }
-        (account.asked, account.spent) = (now, spent);
+        (account.latest, account.spent) = (now, spent);
     }
 
-    /// Takes what an instance counted itself, in place of what is known of it.
-    pub fn replace_counts(&mut self, now: Micros, entry: Entry, parts: impl IntoIterator<Item = Bucket>) {
+    /// Replaces the counts of an instance by the ones that it reports itself.
+    pub fn replace_counts(
+        &mut self,
+        now: Micros,
+        entry: Entry,
+        buckets: impl IntoIterator<Item = Bucket>,
+    ) {
         let Some(account) = self.accounts.get_mut(&entry) else { return };
         account.counts = Counts::new(self.bound.window);
-        parts.into_iter().for_each(|part| account.counts.bring(now, part));
+        buckets.into_iter().for_each(|bucket| account.counts.merge_bucket(now, bucket));
         self.sums = None;
     }
 
-    /// Whether an instance asked before.
+    /// Whether an instance uses this dispatcher already.
     pub fn knows(&self, entry: Entry) -> bool {
         self.accounts.contains_key(&entry)
     }
 
-    /// The connection with an instance ended. What it sent beyond its own part was others', and stays counted.
+    /// Removes a disconnected instance. The retries that it sent beyond its own share used the shares of others, so
+    /// they stay counted.
     pub fn remove(&mut self, now: Micros, entry: Entry, instances: usize) {
         let Some(account) = self.accounts.remove(&entry) else { return };
-        let (requests, repeats) = account.counts.latest(now);
-        let own = self.bound.ratio * f64::from(requests) + self.slack(1.0, instances);
-        let beyond = (f64::from(repeats) - own).max(0.0).ceil();
-        self.gone.repeat(now, beyond as u32);
+        let (requests, retries) = account.counts.latest(now);
+        let own = self.bound.ratio * f64::from(requests) + self.allowance(1.0, instances);
+        let excess = (f64::from(retries) - own).max(0.0).ceil();
+        self.departed.repeat(now, excess as u32);
         self.sums = None;
     }
 
-    /// Counts a request.
+    /// Counts a request of an instance.
     pub fn request(&mut self, now: Micros, entry: Entry) {
-        self.here.request(now);
+        self.local.request(now);
         if let Some(account) = self.accounts.get_mut(&entry) {
             account.counts.request(now);
         }
@@ -138,7 +146,7 @@
         }
     }
 
-    /// Reserves a place for a repeat of an instance, where so many are listed; `false` if there is none left.
+    /// Reserves a place for a retry, given the number of listed instances. Returns `false` if none is left.
     pub fn reserve(&mut self, now: Micros, entry: Entry, instances: usize) -> bool {
         if self.left(now, instances) < f64::from(self.reserved + 1) {
             return false;
@@ -150,7 +158,7 @@
         true
     }
 
-    /// A repeat of an instance for which a place is reserved is not wanted any more.
+    /// Releases the reserved place of a retry that is no longer wanted.
     pub fn release(&mut self, entry: Entry) {
         self.reserved = self.reserved.saturating_sub(1);
         if let Some(account) = self.accounts.get_mut(&entry) {
@@ -158,15 +166,15 @@
         }
     }
 
-    /// A repeat for which a place is reserved is granted to an instance now; `false` if it came too late, since the
-    /// requests by which it was allowed are too long ago.
+    /// Counts a retry with a reserved place as granted. Returns `false` if it may no longer be sent, since the requests
+    /// that allowed it have left the window.
     pub fn grant(&mut self, now: Micros, entry: Entry, instances: usize) -> bool {
         let may_be_sent = self.left(now, instances) >= 1.0;
         self.release(entry);
         if !may_be_sent {
             return false;
         }
-        self.here.repeat(now, 1);
+        self.local.repeat(now, 1);
         if let Some(account) = self.accounts.get_mut(&entry) {
             account.counts.repeat(now, 1);
         }
@@ -176,59 +184,64 @@
         true
     }
 
-    /// How much of what is lent, without what is spent elsewhere, was spent here in the latest window, of 1.
+    /// Fraction, 0 to 1, of the delegated shares (less what is spent elsewhere) that was spent here in the latest
+    /// window.
     pub fn spent(&mut self, now: Micros, instances: usize) -> f64 {
         let left = self.sums(now).left;
-        let (lent, spent) = (self.slack(left, instances), self.here.beyond(now, self.bound.ratio));
-        if spent <= 0.0 { 0.0 } else { (spent / lent.max(1.0)).min(1.0) }
+        let (delegated, spent) =
+            (self.allowance(left, instances), self.local.excess(now, self.bound.ratio));
+        if spent <= 0.0 { 0.0 } else { (spent / delegated.max(1.0)).min(1.0) }
     }
 
-    /// The part of all instances, where so many are listed, that asked this dispatcher in the latest window. Some of a large
-    /// fleet ask for a service only now and then; one that cannot be reached any more is removed at once.
+    /// Fraction of the listed instances that used this dispatcher in the latest window. In a large fleet some instances
+    /// use a service only now and then; disconnected ones are removed at once.
     pub fn share(&self, now: Micros, instances: usize) -> f64 {
-        let asked = |account: &&Account| now <= account.asked + self.bound.window;
-        let asked = self.accounts.values().filter(asked).count();
-        (asked as f64 / instances.max(1) as f64).min(1.0)
+        let is_active = |account: &&Account| now <= account.latest + self.bound.window;
+        let active = self.accounts.values().filter(is_active).count();
+        (active as f64 / instances.max(1) as f64).min(1.0)
     }
 
-    /// How many repeats may be granted in all: by what all sent, and by what was granted here.
+    /// How many retries may still be granted: the lesser of what the counts of all instances and the local counts
+    /// allow.
     fn left(&mut self, now: Micros, instances: usize) -> f64 {
         let ratio = self.bound.ratio;
         let sums = self.sums(now);
-        let (left, whole, sent) = (sums.left, sums.whole, sums.counts.beyond(now, ratio));
-        let by_all = self.slack(whole, instances) - sent;
-        let by_own = self.slack(left, instances) - self.here.beyond(now, ratio);
-        by_all.min(by_own)
+        let (left, total, sent) = (sums.left, sums.total, sums.counts.excess(now, ratio));
+        let by_all = self.allowance(total, instances) - sent;
+        let by_local = self.allowance(left, instances) - self.local.excess(now, ratio);
+        by_all.min(by_local)
     }
 
-    /// The repeats that some of the equal parts are, where so many instances are listed.
-    fn slack(&self, parts: f64, instances: usize) -> f64 {
-        self.bound.slack * SLACK_USED * (parts / instances.max(1) as f64).min(1.0)
+    /// The retries in `shares` equal shares of the fixed allowance, given the number of listed instances.
+    fn allowance(&self, shares: f64, instances: usize) -> f64 {
+        self.bound.slack * SLACK_USED * (shares / instances.max(1) as f64).min(1.0)
     }
 
-    /// The sums over the instances that ask. Of one that asked for nothing lately, and has no repeat that waits, the repeats
-    /// count, and neither its part nor its requests: it may ask another dispatcher.
+    /// The sums over all instances, from the cache if they are recent. Of an instance that sent nothing lately and
+    /// has no waiting retry only the retries count, not its share or its requests: it may use another dispatcher by
+    /// now.
     fn sums(&mut self, now: Micros) -> &Sums {
-        let is_fresh = self.sums.as_ref().is_some_and(|sums| now < sums.at + SUM_FOR);
+        let is_fresh = self.sums.as_ref().is_some_and(|sums| now < sums.at + SUMS_MAX_AGE);
         if !is_fresh {
-            self.sums = Some(self.add_up(now));
+            self.sums = Some(self.sum_accounts(now));
         }
-        self.sums.as_ref().expect("they were just added up")
+        self.sums.as_ref().expect("the sums were just computed")
     }
 
-    fn add_up(&self, now: Micros) -> Sums {
+    fn sum_accounts(&self, now: Micros) -> Sums {
         let window = self.bound.window;
-        let mut sums = Sums { at: now, counts: Counts::new(window), left: 0.0, whole: 0.0 };
-        sums.counts.add(now, &self.gone);
+        let mut sums = Sums { at: now, counts: Counts::new(window), left: 0.0, total: 0.0 };
+        sums.counts.merge(now, &self.departed);
         for account in self.accounts.values() {
-            let lends = account.reserved > 0 || now <= account.asked + window / LENT_FOR;
-            if lends {
+            let delegates =
+                account.reserved > 0 || now <= account.latest + window / DELEGATION_DIVISOR;
+            if delegates {
                 sums.left += 1.0 - account.spent;
-                sums.whole += 1.0;
+                sums.total += 1.0;
             }
-            for part in account.counts.told(now) {
-                let requests = if lends { part.requests } else { 0 };
-                sums.counts.bring(now, Bucket { requests, ..part });
+            for bucket in account.counts.recent(now) {
+                let requests = if delegates { bucket.requests } else { 0 };
+                sums.counts.merge_bucket(now, Bucket { requests, ..bucket });
             }
         }
         sums
--- a/crates/drumusher/src/process/dispatch/health.rs
+++ b/crates/drumusher/src/process/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! Log lines on the health of a pool's backend servers, and on requests that it cost.
+//! Log lines on health changes of a pool's backend servers, and on requests refused in an outage.
 
 use std::sync::Arc;
 
@@ -10,43 +10,43 @@
 
 use crate::version::Pool;
 
-/// Shortest time between two lines on requests refused in an outage.
-const OUTAGE_LINES: u64 = SECOND;
+/// Minimum interval between two log lines on requests refused in an outage, in microseconds.
+const OUTAGE_LOG_INTERVAL: u64 = SECOND;
 
-/// What was logged last of a pool.
+/// The state of a pool as it was last logged.
 pub struct Log {
-    /// The health of each backend server, by key.
+    /// The logged health of each backend server, by key.
     health: Vec<Health>,
-    /// When that was looked at.
-    looked: u64,
-    /// Requests refused in an outage since the last line on it.
+    /// When the health was last compared.
+    checked_at: u64,
+    /// Requests refused in an outage since the last log line on it.
     refused: u32,
-    /// When that line was written.
+    /// When that log line was written.
     outage: u64,
 }
 
 impl Log {
-    /// Nothing was logged yet.
+    /// Creates a log that has written nothing.
     pub fn new(now: u64) -> Self {
-        Log { health: Vec::new(), looked: now, refused: 0, outage: 0 }
+        Log { health: Vec::new(), checked_at: now, refused: 0, outage: 0 }
     }
 
-    /// Counts a request refused because no backend server can be tried soon.
-    pub fn note_refused(&mut self) {
+    /// Counts a request refused because no backend server can be probed soon.
+    pub fn count_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// Writes the lines that are due. `names` are those of the backend servers, by key.
+    /// Writes the log lines that are due. `names` holds the names of the backend servers, by key.
     pub fn write(&mut self, pool: &Pool, decisions: &pool::Pool, names: &[Arc<str>], now: u64) {
-        if now < self.looked + pool::TICK {
+        if now < self.checked_at + pool::TICK {
             return;
         }
-        self.looked = now;
+        self.checked_at = now;
         self.write_changes(pool, decisions, names, now);
         self.write_outage(pool, decisions, now);
     }
 
-    /// Logs what the decisions newly believe of the health of backend servers, with what led to it.
+    /// Logs each change of a backend server's health, with the measurements that led to it.
     fn write_changes(&mut self, pool: &Pool, decisions: &pool::Pool, names: &[Arc<str>], now: u64) {
         self.health.resize(names.len(), Health::Good);
         for (key, server) in decisions.servers() {
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Logs how many requests were refused because no backend server can be tried soon.
+    /// Logs how many requests were refused because no backend server can be probed soon.
     fn write_outage(&mut self, pool: &Pool, decisions: &pool::Pool, now: u64) {
-        if self.refused == 0 || now < self.outage + OUTAGE_LINES {
+        if self.refused == 0 || now < self.outage + OUTAGE_LOG_INTERVAL {
             return;
         }
         self.outage = now;
@@ -83,7 +83,7 @@
             waiting = decisions.waiting(),
             down = down.count(),
             next_probe_ms = decisions.outage().unwrap_or(now).saturating_sub(now) / MILLISECOND;
-            "requests refused: no backend server can be tried soon"
+            "requests refused: no backend server can be probed soon"
         );
     }
 }
--- a/crates/drumusher/src/process/dispatch/host.rs
+++ b/crates/drumusher/src/process/dispatch/hosted_pool.rs
@@ -1,4 +1,4 @@
-//! One pool with the names of its backend servers.
+//! The state of one pool that this instance dispatches.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,10 +13,10 @@
     pool, rank, server,
 };
 
-use super::{Requesters, Bound, Budget, Divisor, health, notices::Notices, trials::Trials};
+use super::{Bound, Budget, Divisor, Requesters, health, notices::Notices, trials::Trials};
 use crate::version::{Backend, Pool};
 
-/// What the decisions were told of a backend server.
+/// The state of a backend server as the scheduler was last given it.
 #[derive(Debug, PartialEq)]
 struct Applied {
     options: server::Options,
@@ -24,61 +24,61 @@
     born_ms: Option<u64>,
 }
 
-/// One pool with the names of its backend servers.
+/// The state of one pool that this instance dispatches: its scheduler, and what is kept beside it.
 pub struct HostedPool {
-    /// Its decisions.
-    pub(super) pool: pool::Pool,
+    /// Decides which request runs where and when.
+    pub(super) scheduler: pool::Pool,
     /// Names of backend servers, by key.
     pub(super) names: Vec<Arc<str>>,
-    /// Keys by name; the key is the place in `names`.
-    pub(super) known: HashMap<Arc<str>, server::Key>,
-    /// What the decisions were told of each backend server last. All of it is compared, since a server may be
-    /// known before the configuration that says how its window is set: where only places and leaving were, it
-    /// kept a learned window, which begins at a third of 48 places, and 456 of 1,111 requests of a route were
-    /// never granted in five seconds.
+    /// Keys by name; a key is the index in `names`.
+    pub(super) keys: HashMap<Arc<str>, server::Key>,
+    /// The state of each backend server that the scheduler was last given. All fields are compared, since a server
+    /// may be known before the configuration that sets the kind of its window. When only the slots and the leaving
+    /// state were compared, such a server kept a learned window, which starts at a third of 48 slots, and 456 of 1,111
+    /// requests of a route were never granted within five seconds.
     applied: BTreeMap<Arc<str>, Applied>,
-    /// Backend servers that said themselves that they are leaving, and when.
-    pub(super) own_word: BTreeMap<Arc<str>, u64>,
-    /// What backend servers said of themselves to callers' entries.
+    /// Backend servers whose load report said that they are leaving, and when it did.
+    pub(super) reported_leaving: BTreeMap<Arc<str>, u64>,
+    /// Limits and departures that backend servers announced to entries.
     pub(super) notices: Notices,
-    /// The other instances that ask for it, by their connections.
-    pub(super) askers: Requesters,
-    /// The repeats that may be granted.
+    /// The other instances that use this dispatcher, by their connections.
+    pub(super) requesters: Requesters,
+    /// The retry budget.
     pub(super) budget: Budget,
-    /// The repeats for which a place in the budget is reserved until they are granted, with who asks.
+    /// Retries with a reserved place in the budget that are not granted yet, with their entries.
     reserved: HashMap<Id, Entry>,
-    /// Those that are tried apart from each other.
+    /// Trial runs of suspect requests.
     pub(super) trials: Trials,
-    /// What tells requests from others, of those that were handed to the decisions.
+    /// Content digests of the requests that were submitted to the scheduler.
     pub(super) digests: HashMap<Id, Digest>,
-    /// The log lines on the health of its backend servers.
+    /// Writes log lines on the health of its backend servers.
     pub(super) health: health::Log,
-    /// When it was asked for last.
-    pub(super) used: u64,
+    /// When the latest event for this pool alone was handled.
+    pub(super) last_used: u64,
 }
 
 impl HostedPool {
-    /// A pool without backend servers, with a bound on the repeats to them.
+    /// Creates a pool without backend servers, with a bound on its retries.
     pub fn new(policy: Arc<Policy>, now: u64, bound: Bound) -> Self {
         HostedPool {
-            pool: pool::Pool::new(policy, now),
+            scheduler: pool::Pool::new(policy, now),
             names: Vec::new(),
-            known: HashMap::new(),
+            keys: HashMap::new(),
             applied: BTreeMap::new(),
-            own_word: BTreeMap::new(),
+            reported_leaving: BTreeMap::new(),
             notices: Notices::default(),
-            askers: Requesters::new(),
+            requesters: Requesters::new(),
             budget: Budget::new(bound),
             reserved: HashMap::new(),
             trials: Trials::default(),
             digests: HashMap::new(),
             health: health::Log::new(now),
-            used: now,
+            last_used: now,
         }
     }
 
-    /// Reserves a place in the budget for a repeat, where so many instances are listed; `false` if there is none left.
-    pub(super) fn reserve_repeat(
+    /// Reserves a place in the retry budget, given the number of listed instances. Returns `false` if none is left.
+    pub(super) fn reserve_retry(
         &mut self,
         now: u64,
         id: Id,
@@ -95,75 +95,76 @@
         granted
     }
 
-    /// A request is granted now: if it is a repeat it is counted. Returns whether it may be sent.
-    pub(super) fn grant_repeat(&mut self, now: u64, id: Id, instances: usize) -> bool {
+    /// Counts the granted request if it is a retry. Returns whether it may be sent.
+    pub(super) fn grant_retry(&mut self, now: u64, id: Id, instances: usize) -> bool {
         match self.reserved.remove(&id) {
             Some(entry) => self.budget.grant(now, entry, instances),
             None => true,
         }
     }
 
-    /// A request is no longer wanted, or was refused.
-    pub(super) fn release_repeat(&mut self, id: Id) {
+    /// Releases the reserved place of a retry that was withdrawn or refused.
+    pub(super) fn release_retry(&mut self, id: Id) {
         if let Some(entry) = self.reserved.remove(&id) {
             self.budget.release(entry);
         }
     }
 
-    /// Forgets what was kept of requests that ended without a word, with their entry.
-    pub(super) fn forget_ended(&mut self) {
-        let pool = &self.pool;
-        let is_known = |id: Id| pool.waits(id) || pool.running_request(id).is_some();
-        self.trials.keep(is_known);
+    /// Removes what is kept of requests that the scheduler no longer has, since their entry disconnected.
+    pub(super) fn remove_ended(&mut self) {
+        let scheduler = &self.scheduler;
+        let is_known = |id: Id| scheduler.waits(id) || scheduler.running_request(id).is_some();
+        self.trials.retain(is_known);
         for (_, entry) in self.reserved.extract_if(|id, _| !is_known(*id)) {
             self.budget.release(entry);
         }
-        if self.digests.len() > pool.waiting() + pool.running() {
+        if self.digests.len() > scheduler.waiting() + scheduler.running() {
             self.digests.retain(|id, _| is_known(*id));
         }
     }
 
-    /// The name and key of a start of a backend server, if it is the one that is listed.
-    pub(super) fn start(
+    /// The name and key of a backend server if its listed start time is `born_ms`, in Unix milliseconds.
+    pub(super) fn incarnation(
         &self,
         name: &str,
         born_ms: Option<u64>,
     ) -> Option<(Arc<str>, server::Key)> {
         let (name, applied) = self.applied.get_key_value(name)?;
-        let key = self.known.get(name)?;
+        let key = self.keys.get(name)?;
         (applied.born_ms == born_ms).then(|| (name.clone(), *key))
     }
 
-    /// The key of a name, a new one if it has none.
+    /// The key of a name; assigns a new one if it has none.
     fn key(&mut self, name: &Arc<str>) -> server::Key {
-        if let Some(key) = self.known.get(name) {
+        if let Some(key) = self.keys.get(name) {
             return *key;
         }
         let key = server::Key(self.names.len() as u16);
         self.names.push(name.clone());
-        self.known.insert(name.clone(), key);
+        self.keys.insert(name.clone(), key);
         key
     }
 
     /// Writes the log lines that are due on the health of its backend servers.
     pub(super) fn log_health(&mut self, pool: &Pool, now: u64) {
-        self.health.write(pool, &self.pool, &self.names, now);
+        self.health.write(pool, &self.scheduler, &self.names, now);
     }
 
-    /// The events that bring the decisions in line with the backend servers `wanted`, by name, with
-    /// windows divided by `divide`.
+    /// Returns the events that update the scheduler to the listed backend servers `wanted`, by name, with concurrency
+    /// windows divided by `divisor`.
     pub fn refresh(
         &mut self,
         pool: &str,
         wanted: &BTreeMap<Arc<str>, &Backend>,
         learned: bool,
-        divide: Divisor,
+        divisor: Divisor,
     ) -> Vec<Event> {
         let mut events = Vec::new();
         for (name, backend) in wanted {
-            let says_so = self.own_word.contains_key(name) || self.notices.leaves(name);
-            let leaving = backend.leaving || says_so;
-            let slots = (backend.slots / divide).max(1);
+            let announced =
+                self.reported_leaving.contains_key(name) || self.notices.is_leaving(name);
+            let leaving = backend.leaving || announced;
+            let slots = (backend.slots / divisor).max(1);
             let options = options(slots, learned, rank::weight(pool, name));
             let mut applied = Applied { options, leaving, born_ms: backend.born_ms };
             let before = self.applied.get(name);
@@ -171,7 +172,7 @@
                 continue;
             }
             if before.is_some_and(|before| before.born_ms < applied.born_ms) {
-                events.extend(self.forget(name));
+                events.extend(self.retire_key(name));
                 applied.leaving = backend.leaving;
             }
             let leaving = applied.leaving;
@@ -183,8 +184,8 @@
             self.applied.keys().filter(|name| !wanted.contains_key(*name)).cloned().collect();
         for name in gone {
             self.applied.remove(&name);
-            self.own_word.remove(&name);
-            // With what is known of its limit the decisions forget the limit: nobody would lift it when it is back.
+            self.reported_leaving.remove(&name);
+            // The scheduler forgets the limit too: nothing would lift it when the server is listed again.
             self.notices.remove(&name);
             let key = self.key(&name);
             events.extend([Event::Leave(key), Event::Limit(key, None)]);
@@ -194,13 +195,13 @@
 }
 
 impl HostedPool {
-    /// A backend server started again under its name: what it is from now on has a key of its own, of which
-    /// nothing was learned, and the one before gets no new work.
-    fn forget(&mut self, name: &Arc<str>) -> Option<Event> {
-        self.own_word.remove(name);
+    /// Handles the restart of a backend server under the same name. The new process gets a key of its own, without
+    /// learned state; the key of the old one gets no new work.
+    fn retire_key(&mut self, name: &Arc<str>) -> Option<Event> {
+        self.reported_leaving.remove(name);
         self.notices.remove(name);
-        let key = self.known.remove(name)?;
-        log::info!(server = &**name; "backend server started again under its name");
+        let key = self.keys.remove(name)?;
+        log::info!(server = &**name; "backend server restarted under the same name");
         Some(Event::Leave(key))
     }
 }
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -1,8 +1,9 @@
-//! What backend servers said of themselves, as the dispatcher hears it from all entries, and plans by it.
+//! Rate limits, rests and departures that backend servers announced, as entries report them to the dispatcher.
 //!
-//! A limit is for all instances together. Dispatchers change hands, and the fleet may be divided between several: so each
-//! instance lends its equal part of a limit to the dispatcher that it asks, as it does with repeats, and a dispatcher grants
-//! at the rate that was lent to it. A new one has nothing saved up, since it does not know what the one before granted.
+//! A limit holds for all instances together. The dispatcher of a pool may change, and a partitioned fleet may have
+//! several. So each instance delegates its equal share of a limit to the dispatcher that it uses, as with the retry
+//! budget, and a dispatcher grants at the rate of the shares delegated to it. A new dispatcher starts without unused
+//! grants to catch up on, since it does not know what the previous one granted.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -10,7 +11,7 @@
 use drumusher_schedule::{ask::Entry, event::Event, pool, time::Micros};
 use drumusher_wire::peer;
 
-use super::Dispatch;
+use super::Dispatcher;
 use crate::{
     process::{
         clock,
@@ -19,75 +20,77 @@
     version::Pool,
 };
 
-/// A rate that differs by less than this part is not told to the decisions anew.
-const SAME_RATE: f64 = 0.01;
+/// A rate that changed by less than this fraction is not passed to the scheduler again.
+const RATE_TOLERANCE: f64 = 0.01;
 
-/// What is known of one backend server.
+/// What one backend server announced.
 #[derive(Debug, Default)]
-struct Known {
+struct ServerState {
     limit: Limit,
     leaving: bool,
-    /// The rate that the decisions were told last.
+    /// The rate, in requests per second, that the scheduler was last given.
     rate: Option<f64>,
 }
 
-/// What backend servers of one pool said of themselves, by name.
+/// What the backend servers of one pool announced, by name.
 #[derive(Debug, Default)]
 pub(super) struct Notices {
-    known: HashMap<Arc<str>, Known>,
-    /// When the rates were looked at last.
-    looked: Micros,
+    servers: HashMap<Arc<str>, ServerState>,
+    /// When the rates were last computed.
+    checked_at: Micros,
 }
 
 impl Notices {
-    /// Takes a limit as an entry knows it. Returns whether it changed.
-    fn take_limit(&mut self, now: Micros, server: &Arc<str>, notice: &peer::Notice) -> bool {
+    /// Updates a limit from an entry's report. Returns whether it changed.
+    fn update_limit(&mut self, now: Micros, server: &Arc<str>, notice: &peer::Notice) -> bool {
         let at = |age: i64| now.saturating_sub(age.max(0) as u64);
-        let limit = &mut self.known.entry(server.clone()).or_default().limit;
+        let limit = &mut self.servers.entry(server.clone()).or_default().limit;
         let lifted = notice.lifted.is_some_and(|age| limit.lift(at(age)));
         let rate = notice.limit.map(|rate| Rate(rate.clamp(0, i64::from(u32::MAX)) as u32));
-        let named = rate.is_some_and(|rate| limit.announce(at(notice.named.unwrap_or(0)), rate));
-        lifted || named
+        let announced =
+            rate.is_some_and(|rate| limit.announce(at(notice.named.unwrap_or(0)), rate));
+        lifted || announced
     }
 
-    /// A backend server says that it leaves. Returns whether that is new.
-    fn leave(&mut self, server: &Arc<str>) -> bool {
-        !std::mem::replace(&mut self.known.entry(server.clone()).or_default().leaving, true)
+    /// Records that a backend server is leaving. Returns whether that is new.
+    fn set_leaving(&mut self, server: &Arc<str>) -> bool {
+        !std::mem::replace(&mut self.servers.entry(server.clone()).or_default().leaving, true)
     }
 
-    /// Whether a backend server said that it leaves.
-    pub(super) fn leaves(&self, server: &str) -> bool {
-        self.known.get(server).is_some_and(|known| known.leaving)
+    /// Whether a backend server announced that it is leaving.
+    pub(super) fn is_leaving(&self, server: &str) -> bool {
+        self.servers.get(server).is_some_and(|state| state.leaving)
     }
 
-    /// A backend server is gone, or started again.
+    /// Removes a backend server that is no longer listed or has restarted.
     pub(super) fn remove(&mut self, server: &str) {
-        self.known.remove(server);
+        self.servers.remove(server);
     }
 
-    /// What a grant of a backend server is based on.
+    /// What is known of a backend server's limit, to be sent with a grant.
     pub(super) fn known_limit(&self, server: &str) -> KnownLimit {
-        let limit = self.known.get(server).map(|known| known.limit).unwrap_or_default();
+        let limit = self.servers.get(server).map(|state| state.limit).unwrap_or_default();
         KnownLimit { limited: limit.rate().is_some(), lifted: limit.lifted() }
     }
 
-    /// Whether the rates are to be looked at again.
-    fn are_due(&self, now: Micros) -> bool {
-        !self.known.is_empty() && now >= self.looked + pool::TICK
+    /// Whether the rates are due to be computed again.
+    fn is_check_due(&self, now: Micros) -> bool {
+        !self.servers.is_empty() && now >= self.checked_at + pool::TICK
     }
 
-    /// The rates that the decisions are to be told, where `part` of each limit is this dispatcher's.
-    fn rates(&mut self, now: Micros, part: f64) -> Vec<(Arc<str>, Option<f64>)> {
-        self.looked = now;
+    /// The rates that changed since the scheduler was last given them, where `share` (0 to 1) of each limit is
+    /// delegated to this dispatcher.
+    fn changed_rates(&mut self, now: Micros, share: f64) -> Vec<(Arc<str>, Option<f64>)> {
+        self.checked_at = now;
         let mut changed = Vec::new();
-        for (server, known) in &mut self.known {
-            let rate = known.limit.tried().map(|rate| rate.per_second() * part);
-            let is_same = match (known.rate, rate) {
-                (Some(before), Some(rate)) => (before - rate).abs() <= rate * SAME_RATE,
+        for (server, state) in &mut self.servers {
+            let rate = state.limit.rate_with_floor().map(|rate| rate.per_second() * share);
+            let is_same = match (state.rate, rate) {
+                (Some(before), Some(rate)) => (before - rate).abs() <= rate * RATE_TOLERANCE,
                 (before, rate) => before.is_none() && rate.is_none(),
             };
             if !is_same {
-                known.rate = rate;
+                state.rate = rate;
                 changed.push((server.clone(), rate));
             }
         }
@@ -95,51 +98,51 @@
     }
 }
 
-impl Dispatch {
-    /// Takes what an entry knows of a backend server's own words. What is not listed here, or is another start, is passed
-    /// over: an entry that gets a grant of it gives that back and tells this anew.
-    pub(super) fn noticed(&mut self, entry: Entry, notice: &peer::Notice) {
+impl Dispatcher {
+    /// Handles an entry's report of what a backend server announced. A server that is not listed here, or has another
+    /// start time, is ignored: an entry that is granted such a server returns the grant and reports the notice again.
+    pub(super) fn handle_notice(&mut self, entry: Entry, notice: &peer::Notice) {
         let Some(pool) = Pool::parse(&notice.pool) else { return };
-        let Some(host) = self.hosts.get_mut(&pool) else { return };
+        let Some(hosted) = self.pools.get_mut(&pool) else { return };
         let born_ms = notice.born.map(|born| born.max(0) as u64);
-        let Some((server, key)) = host.start(&notice.server, born_ms) else { return };
+        let Some((server, key)) = hosted.incarnation(&notice.server, born_ms) else { return };
         let now = clock::now();
-        let limited = host.notices.take_limit(now, &server, notice);
-        let leaves = notice.leaving == Some(true) && host.notices.leave(&server);
-        if limited || leaves {
+        let limited = hosted.notices.update_limit(now, &server, notice);
+        let newly_leaving = notice.leaving == Some(true) && hosted.notices.set_leaving(&server);
+        if limited || newly_leaving {
             log::info!(
                 server = &*server, pool = notice.pool.as_str(), entry = entry.0,
                 limit_milli = notice.limit.unwrap_or(-1), leaving = notice.leaving == Some(true);
-                "an entry tells what a backend server says of itself"
+                "entry reports a notice of a backend server"
             );
         }
-        if leaves {
-            self.refresh(&pool);
+        if newly_leaving {
+            self.refresh_servers(&pool);
         }
         if limited {
-            self.share_limits(&pool, now);
+            self.update_rates(&pool, now);
         }
         if let Some(left) = notice.rest.filter(|left| *left > 0) {
             self.handle(&pool, Event::Rest(entry, key, now + left as u64));
         }
     }
 
-    /// Looks at the rates of all pools where that is due.
-    pub(super) fn look_at_limits(&mut self) {
+    /// Updates the rates of all pools for which that is due.
+    pub(super) fn update_due_rates(&mut self) {
         let now = clock::now();
-        let due = self.hosts.iter().filter(|(_, host)| host.notices.are_due(now));
+        let due = self.pools.iter().filter(|(_, hosted)| hosted.notices.is_check_due(now));
         let due: Vec<Pool> = due.map(|(pool, _)| pool.clone()).collect();
-        due.iter().for_each(|pool| self.share_limits(pool, now));
+        due.iter().for_each(|pool| self.update_rates(pool, now));
     }
 
-    /// Tells the decisions of a pool at which rates they may grant, by who lends limits to this dispatcher now.
-    fn share_limits(&mut self, pool: &Pool, now: Micros) {
+    /// Passes the changed rates of a pool to its scheduler, by the share of the instances that use this dispatcher now.
+    fn update_rates(&mut self, pool: &Pool, now: Micros) {
         let instances = self.shared.directory.load().instances.len();
-        let Some(host) = self.hosts.get_mut(pool) else { return };
-        let part = host.budget.share(now, instances);
-        let rates = host.notices.rates(now, part);
-        let known = |(server, rate)| Some(Event::Limit(*host.known.get(&server)?, rate));
-        let events: Vec<Event> = rates.into_iter().filter_map(known).collect();
+        let Some(hosted) = self.pools.get_mut(pool) else { return };
+        let share = hosted.budget.share(now, instances);
+        let rates = hosted.notices.changed_rates(now, share);
+        let event = |(server, rate)| Some(Event::Limit(*hosted.keys.get(&server)?, rate));
+        let events: Vec<Event> = rates.into_iter().filter_map(event).collect();
         events.into_iter().for_each(|event| self.handle(pool, event));
     }
 }
--- a/crates/drumusher/src/process/dispatch/orders.rs
+++ b/crates/drumusher/src/process/dispatch/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the decisions: carried out, counted, and sent to the entries.
+//! The scheduler's orders: executed, counted and sent to the entries.
 
 use drumusher_schedule::{
     ask::{Entry, Id, Outcome},
@@ -6,65 +6,65 @@
     order::{Order, Refusal},
 };
 
-use super::{Dispatch, SPENT_WHOLE, wire};
+use super::{Dispatcher, SPENT_SCALE, wire};
 use crate::{
     process::{clock, notices::KnownLimit},
     request::id,
     version::Pool,
 };
 
-impl Dispatch {
-    /// Sends the orders of one event, and notes why each was given.
-    pub(super) fn send(&mut self, pool: &Pool) {
+impl Dispatcher {
+    /// Executes the orders that one event led to, and records the reason of each for `show request`.
+    pub(super) fn send_orders(&mut self, pool: &Pool) {
         let mut orders = std::mem::take(&mut self.orders);
         let instances = self.shared.directory.load().instances.len();
-        let mut undone = Vec::new();
+        let mut revoked = Vec::new();
         for order in &orders {
             self.shared.telemetry.count_order(order);
-            undone.extend(self.carry_out(pool, order, instances));
+            revoked.extend(self.execute(pool, order, instances));
         }
         orders.clear();
         self.orders = orders;
         self.flush();
-        for (entry, id) in undone {
-            self.refuse_repeat(entry, id::to_wire(id));
+        for (entry, id) in revoked {
+            self.refuse_retry(entry, id::to_wire(id));
             self.handle(pool, Event::Finish(id, Outcome::Cancelled, 0));
-            self.end_suspect(pool, id, Outcome::Cancelled);
+            self.attempt_ended(pool, id, Outcome::Cancelled);
         }
     }
 
-    /// Hands one order on. Returns a grant that is not to be carried out, since it is of a repeat that the fleet may not
-    /// send by now.
-    fn carry_out(&mut self, pool: &Pool, order: &Order, instances: usize) -> Option<(Entry, Id)> {
-        let host = self.hosts.get_mut(pool)?;
+    /// Queues the message of one order. Returns the entry and request of a grant that is revoked instead, since it is
+    /// for a retry that the budget no longer allows.
+    fn execute(&mut self, pool: &Pool, order: &Order, instances: usize) -> Option<(Entry, Id)> {
+        let hosted = self.pools.get_mut(pool)?;
         let now = clock::now();
         let (mut alone, mut known_limit) = (None, KnownLimit::default());
         match *order {
-            Order::Grant { id, entry, .. } if !host.grant_repeat(now, id, instances) => {
+            Order::Grant { id, entry, .. } if !hosted.grant_retry(now, id, instances) => {
                 return Some((entry, id));
             }
             Order::Grant { id, server, .. } => {
-                alone = host.trials.grant(id, server);
-                known_limit = host.notices.known_limit(&host.names[usize::from(server.0)]);
+                alone = hosted.trials.grant(id, server);
+                known_limit = hosted.notices.known_limit(&hosted.names[usize::from(server.0)]);
             }
             Order::Refuse { id, refusal, .. } => {
-                host.release_repeat(id);
+                hosted.release_retry(id);
                 if refusal == Refusal::NoServer {
-                    host.health.note_refused();
+                    hosted.health.count_refused();
                 }
             }
             Order::Preempt { .. } => {}
         }
-        let spent = (host.budget.spent(now, instances) * SPENT_WHOLE) as i16;
-        let terms = wire::Terms { spent, alone, known_limit, now };
-        let (entry, id, message, why) = wire::order(order, &host.names, &terms);
+        let spent = (hosted.budget.spent(now, instances) * SPENT_SCALE) as i16;
+        let context = wire::GrantContext { spent, alone, known_limit, now };
+        let (entry, id, message, why) = wire::order(order, &hosted.names, &context);
         self.shared.explanations.add(id, format!("{pool}: {why}"));
         self.unsent.push_back((entry, message));
         None
     }
 
-    /// Hands messages to the peers thread. What its full ring does not take waits here, where the
-    /// number of asks bounds it.
+    /// Sends queued messages to the peers thread. Messages that don't fit into its ring stay queued; the number of
+    /// pending asks bounds the queue.
     pub(super) fn flush(&mut self) {
         while let Some(next) = self.unsent.pop_front() {
             if let Err(error) = self.replies.try_send(next) {
--- a/crates/drumusher/src/process/dispatch/trials.rs
+++ b/crates/drumusher/src/process/dispatch/trials.rs
@@ -1,4 +1,4 @@
-//! Requests that run on trial, each apart from the others, since backend servers ended where they ran. Without I/O.
+//! Trial runs of requests during which backend servers crashed, each isolated from the others. Without I/O.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,23 +10,23 @@
 };
 use drumusher_wire::peer;
 
-/// How long it is remembered of a trial that ended whether it was apart: its entry finds out within a tenth of a second
-/// whether the backend server ended with it.
-const REMEMBERED: Micros = 10 * SECOND;
+/// How long it is kept whether an ended trial was alone on its server: its entry finds out within 0.1 s whether the
+/// backend server crashed with it.
+const ENDED_RETENTION: Micros = 10 * SECOND;
 
-/// One that runs, or was handed to the decisions to run.
+/// A trial that runs, or was submitted to the scheduler.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     digest: Digest,
-    /// Where it runs; `None` until it is granted.
+    /// The backend server that runs it; `None` until it is granted.
     server: Option<server::Key>,
-    /// Whether its first event came.
-    begun: bool,
-    /// Whether no other one runs beside it.
+    /// Whether its first event has arrived.
+    started: bool,
+    /// Whether no other trial ran on its backend server at the same time.
     alone: bool,
 }
 
-/// One that waits until it may be tried.
+/// A request that waits for its trial run.
 pub(super) struct Waiting {
     pub(super) entry: Entry,
     pub(super) ask: peer::Ask,
@@ -37,46 +37,47 @@
 pub struct Trials {
     running: HashMap<Id, Trial>,
     waiting: VecDeque<Waiting>,
+    /// Ended trials: when each ended, its request, and whether it was alone.
     ended: VecDeque<(Micros, Id, bool)>,
 }
 
 impl Trials {
-    /// Whether a request may be tried now, where so many trials may be under way whose outcome is open. No request is
-    /// tried twice at once.
-    pub(super) fn may_begin(&self, digest: Digest, most: usize) -> bool {
-        let open = self.running.values().filter(|trial| !trial.begun).count();
-        open < most && self.running.values().all(|trial| trial.digest != digest)
+    /// Whether a trial may begin now, given the maximum number of undecided trials. A request has at most one trial
+    /// at a time.
+    pub(super) fn may_begin(&self, digest: Digest, max: usize) -> bool {
+        let open = self.running.values().filter(|trial| !trial.started).count();
+        open < max && self.running.values().all(|trial| trial.digest != digest)
     }
 
-    /// A request is handed to the decisions.
+    /// Begins the trial of a request that is submitted to the scheduler.
     pub fn begin(&mut self, id: Id, digest: Digest) {
-        let trial = Trial { digest, server: None, begun: false, alone: true };
+        let trial = Trial { digest, server: None, started: false, alone: true };
         self.running.insert(id, trial);
     }
 
-    /// A request is handed to the decisions without a trial: an earlier trial of it says nothing of
-    /// this run.
+    /// Forgets an earlier trial of a request that is submitted without one: its result says nothing about this run.
     pub fn forget(&mut self, id: Id) {
         self.ended.retain(|(_, ended, _)| *ended != id);
     }
 
-    /// A request waits until it may be tried. Returns that it does.
+    /// Queues a request for its trial run. Always returns `true`.
     pub(super) fn wait(&mut self, entry: Entry, ask: peer::Ask) -> bool {
         self.waiting.push_back(Waiting { entry, ask });
         true
     }
 
-    /// Takes all that wait, first one first.
+    /// Takes all waiting requests, oldest first.
     pub(super) fn take_waiting(&mut self) -> VecDeque<Waiting> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// The backend servers on which requests are tried.
+    /// The backend servers that run trials.
     pub(super) fn servers(&self) -> Vec<server::Key> {
         self.running.values().filter_map(|trial| trial.server).collect()
     }
 
-    /// A request was granted a backend server. Returns whether it is alone there; `None` if it is not on trial.
+    /// Records the backend server that a request was granted. Returns whether it is the only trial there; `None` if
+    /// it is not on trial.
     pub fn grant(&mut self, id: Id, server: server::Key) -> Option<bool> {
         self.running.get(&id)?;
         let mut alone = true;
@@ -90,45 +91,46 @@
         Some(alone)
     }
 
-    /// The first event of a request came.
-    pub(super) fn begun(&mut self, id: Id) {
+    /// Records the first event of a request.
+    pub(super) fn started(&mut self, id: Id) {
         if let Some(trial) = self.running.get_mut(&id) {
-            trial.begun = true;
+            trial.started = true;
         }
     }
 
-    /// A request ended, moved to another dispatcher or is no longer wanted. Returns whether others may be tried now.
+    /// Removes a request that ended, moved to another dispatcher or was withdrawn. Returns whether that made room for
+    /// another trial.
     pub fn end(&mut self, now: Micros, id: Id) -> bool {
         self.waiting.retain(|waiting| waiting.ask.id != id.to_be_bytes());
         let Some(trial) = self.running.remove(&id) else {
             return false;
         };
-        self.ended.retain(|(at, ..)| now < at + REMEMBERED);
+        self.ended.retain(|(at, ..)| now < at + ENDED_RETENTION);
         if trial.server.is_some() {
             self.ended.push_back((now, id, trial.alone));
         }
         true
     }
 
-    /// An entry is gone with all its requests that wait.
-    pub(super) fn gone(&mut self, entry: Entry) {
+    /// Removes the waiting requests of a disconnected entry.
+    pub(super) fn entry_disconnected(&mut self, entry: Entry) {
         self.waiting.retain(|waiting| waiting.entry != entry);
     }
 
-    /// Whether a request is or was on trial here, and apart from others.
+    /// Whether the trial of a request was alone on its server; `None` if it was not on trial here lately.
     pub fn was_alone(&self, id: Id) -> Option<bool> {
         let running = self.running.get(&id).map(|trial| trial.alone);
         let ended = || self.ended.iter().rev().find(|(_, ended, _)| *ended == id);
         running.or_else(|| ended().map(|(.., alone)| *alone))
     }
 
-    /// Whether none waits.
-    pub(super) fn nobody_waits(&self) -> bool {
+    /// Whether no request waits.
+    pub(super) fn is_queue_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Forgets those that the decisions do not know: they were refused, or their entry is gone.
-    pub(super) fn keep(&mut self, is_known: impl Fn(Id) -> bool) {
+    /// Removes the trials that the scheduler does not have: they were refused, or their entry disconnected.
+    pub(super) fn retain(&mut self, is_known: impl Fn(Id) -> bool) {
         self.running.retain(|id, _| is_known(*id));
     }
 }
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between instances as events of the decisions, and orders as messages.
+//! Conversion of peer messages to scheduler events, and of orders to peer messages.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -18,13 +18,13 @@
     version::Version,
 };
 
-/// Reads an ask of an entry. A class that is not known is taken for the lowest; `known` has the keys
-/// of the pool's backend servers, of which those in `apart` are to be kept apart from it.
+/// Decodes an ask of an entry. An unknown class counts as the lowest one. `keys` has the keys of the pool's backend
+/// servers by name; the request must not run on those in `apart`.
 pub(super) fn ask(
     entry: Entry,
     wire: &peer::Ask,
     version: &Version,
-    known: &HashMap<Arc<str>, server::Key>,
+    keys: &HashMap<Arc<str>, server::Key>,
     apart: Vec<server::Key>,
 ) -> Option<Ask> {
     let lowest = ClassKey(version.policy.classes.len() as u16 - 1);
@@ -42,14 +42,14 @@
         preemptions: wire.preemptions.unwrap_or(0).clamp(0, 255) as u8,
         moved: wire.server.is_some()
             || Attempt::from_wire(wire.attempt.unwrap_or(0)) == Attempt::Resent,
-        avoid: avoid.and_then(|name| known.get(name).copied()),
+        avoid: avoid.and_then(|name| keys.get(name).copied()),
         apart,
         output: wire.output.unwrap_or(0).max(0) as u32,
         parts: wire.parts.iter().flatten().map(read_part).collect(),
     })
 }
 
-/// What an entry says that it sent in one part of the window.
+/// Decodes what an entry sent in one bucket of the window.
 pub(super) fn count(count: &peer::Count) -> Bucket {
     let number = |number: i32| number.max(0) as u32;
     Bucket {
@@ -63,7 +63,7 @@
     ask::Part { id: part.id as u64, tokens: part.tokens.max(0) as u32 }
 }
 
-/// A report on an attempt.
+/// Decodes a progress report of an attempt.
 pub(super) fn progress(
     id: Id,
     produced: u32,
@@ -78,7 +78,7 @@
     }
 }
 
-/// The outcome of an attempt by its number; one that is not known counts as a failure.
+/// Decodes the outcome of an attempt. An unknown number counts as a failure.
 pub(super) fn outcome(number: i16) -> Outcome {
     match number {
         0 => Outcome::Done,
@@ -91,23 +91,23 @@
     }
 }
 
-/// What goes along with a grant.
-pub(super) struct Terms {
-    /// How much of the repeats that were lent is gone, as on the wire.
+/// What the dispatcher sends along with a grant.
+pub(super) struct GrantContext {
+    /// How much of the delegated retry budget is spent, in thousandths.
     pub(super) spent: i16,
-    /// Of a request on trial, whether it is apart from others.
+    /// For a request on trial, whether it is the only trial on its server.
     pub(super) alone: Option<bool>,
-    /// What is known of the limit of its backend server.
+    /// What is known of the rate limit of its backend server.
     pub(super) known_limit: KnownLimit,
-    /// When it is given.
+    /// When the grant is sent.
     pub(super) now: Micros,
 }
 
-/// An order as a message, with the reason in words.
+/// Encodes an order, and describes its reason for `show request`.
 pub(super) fn order(
     order: &Order,
     names: &[Arc<str>],
-    terms: &Terms,
+    context: &GrantContext,
 ) -> (Entry, Id, Message, String) {
     match *order {
         Order::Grant { id, entry, server, source, expected, choice, waited, overtaken } => {
@@ -124,15 +124,15 @@
                 choice: choice as i16,
                 source,
                 expected: (expected > 0).then_some(expected as i64),
-                spent: (terms.spent > 0).then_some(terms.spent),
-                alone: terms.alone,
-                limited: terms.known_limit.limited.then_some(true),
-                lifted: terms.known_limit.lifted.map(|at| terms.now.saturating_sub(at) as i64),
+                spent: (context.spent > 0).then_some(context.spent),
+                alone: context.alone,
+                limited: context.known_limit.limited.then_some(true),
+                lifted: context.known_limit.lifted.map(|at| context.now.saturating_sub(at) as i64),
             };
             (entry, id, Message::Grant(grant), why)
         }
         Order::Refuse { id, entry, refusal, retry_after } => {
-            let why = format!("refused ({refusal:?}), to come back in {retry_after} µs");
+            let why = format!("refused ({refusal:?}), retry after {retry_after} µs");
             let refuse = peer::Refuse::new(id::to_wire(id), refusal as i16, retry_after as i64);
             (entry, id, Message::Refuse(refuse), why)
         }
--- a/crates/drumusher/src/process/notices/limit.rs
+++ b/crates/drumusher/src/process/notices/limit.rs
@@ -1,53 +1,53 @@
-//! The requests a second that a backend server takes from all instances together, as far as is known. Without I/O.
+//! The rate limit of a backend server, in requests per second from all instances together. Without I/O.
 
 use drumusher_platform::dialect::Rate;
 use drumusher_schedule::time::{MILLISECOND, Micros, SECOND};
 
-/// A limit that was named last so long ago is lifted by an answer that names none. Answers overtake each other, and one
-/// that lifts a limit too soon lets all through that waits for it.
-const LIFTED_AFTER: Micros = SECOND;
-/// A limit of less is tried at this rate, to find out when it ends: a backend server that gets nothing says nothing.
-const TRIED: Rate = Rate(200);
+/// An answer without a limit lifts a limit only if its request was sent this long after the limit was last announced.
+/// Answers may overtake each other, and lifting a limit too soon releases all waiting requests at once.
+const LIFT_DELAY: Micros = SECOND;
+/// Lower limits are treated as this rate: a backend server that gets no requests cannot announce the end of its limit.
+const MIN_RATE: Rate = Rate(200);
 
-/// A limit with what it was learned from. Times are on the own clock.
+/// A rate limit and how it was learned. Times are on the clock of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limit {
     rate: Option<Rate>,
     /// Since when it is in force.
     since: Micros,
-    /// When it was named last.
+    /// When it was last announced.
     announced: Micros,
-    /// When the latest request was sent whose answer named none.
+    /// When the latest request was sent whose answer announced no limit.
     lifted: Micros,
 }
 
 impl Limit {
-    /// What is in force.
+    /// The limit in force.
     pub fn rate(&self) -> Option<Rate> {
         self.rate
     }
 
-    /// The same, but not so little that its end would not be noticed.
-    pub fn tried(&self) -> Option<Rate> {
-        self.rate.map(|rate| rate.max(TRIED))
+    /// The limit in force, but at least the rate at which its end is noticed.
+    pub fn rate_with_floor(&self) -> Option<Rate> {
+        self.rate.map(|rate| rate.max(MIN_RATE))
     }
 
-    /// Since when it is in force, whatever it was at first.
+    /// Since when a limit is in force; its rate may have changed since.
     pub fn since(&self) -> Micros {
         self.since
     }
 
-    /// When it was named last.
+    /// When it was last announced.
     pub fn announced(&self) -> Micros {
         self.announced
     }
 
-    /// When the request was sent whose answer lifted it; `None` if it is in force or there never was one.
+    /// When the request was sent whose answer lifted it; `None` if a limit is in force or there was none.
     pub fn lifted(&self) -> Option<Micros> {
         (self.rate.is_none() && self.lifted > 0).then_some(self.lifted)
     }
 
-    /// An answer that came at a time named a limit. Returns whether that changes it.
+    /// Records that an answer which arrived at `at` announced a limit. Returns whether the limit changed.
     pub fn announce(&mut self, at: Micros, rate: Rate) -> bool {
         if at < self.announced || at <= self.lifted {
             return false;
@@ -59,9 +59,9 @@
         self.rate.replace(rate) != Some(rate)
     }
 
-    /// The answer to a request that was sent at a time named none. Returns whether that lifts it.
+    /// Records that the answer to a request sent at `sent` announced no limit. Returns whether that lifted the limit.
     pub fn lift(&mut self, sent: Micros) -> bool {
-        let is_later = self.announced == 0 || sent > self.announced + LIFTED_AFTER;
+        let is_later = self.announced == 0 || sent > self.announced + LIFT_DELAY;
         if !is_later || sent <= self.lifted {
             return false;
         }
@@ -69,8 +69,8 @@
         self.rate.take().is_some()
     }
 
-    /// Whether a grant may be obeyed whose dispatcher knows of no limit, or of one that was lifted by a request sent at a
-    /// time. That one may know more than this instance.
+    /// Whether a request may be sent whose grant was not counted against a limit. `lifted` is when the request was sent
+    /// whose answer lifted the limit, if the dispatcher knows of one: it may know more than this instance.
     pub fn allows(&self, lifted: Option<Micros>) -> bool {
         let slack = 10 * MILLISECOND;
         self.rate.is_none() || lifted.is_some_and(|lifted| lifted + slack > self.announced)
