--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -1,8 +1,9 @@
-//! What backend servers last said of themselves in their answers to this instance: a limit for all instances together,
-//! a rest that this one is to give them, or that they leave.
+//! Notices that backend servers gave in their answers to this instance: a rate limit for all instances together, a rest
+//! during which this instance sends them nothing, or that they are leaving.
 //!
-//! It is kept by the start of a backend server, and is the last thing that is looked at before anything is sent there,
-//! whatever the store's record or a grant says. The dispatcher plans by the same, which it is told.
+//! Notices belong to one run of a backend server, identified by its start time. They are checked last before anything
+//! is sent to the server, and override the store's entry and the grant. Dispatchers get them too, and schedule by
+//! them.
 
 mod limit;
 
@@ -21,52 +22,52 @@
 
 use crate::version::{Backend, Directory, Pool};
 
-/// A dispatcher is told again that a limit is named after this, so that it knows that it still is.
-const TOLD_EVERY: Micros = 250 * MILLISECOND;
-/// A rest whose end moves by less is not told again.
-const SAME_END: Micros = 50 * MILLISECOND;
-/// How long a backend server is remembered that is no longer listed. Its entry may lapse and come back while the store is
-/// away.
-const REMEMBERED: Micros = 600 * SECOND;
-/// Most backend servers of which something is known; some times as many as are served at most.
-const MOST: usize = 8_192;
+/// A limit that is still announced is reported to the dispatcher again after this time.
+const REPORT_INTERVAL: Micros = 250 * MILLISECOND;
+/// A rest whose end moves by no more than this is not reported again.
+const REST_TOLERANCE: Micros = 50 * MILLISECOND;
+/// How long the record of an unlisted backend server is kept: its entry may expire and return while the store is
+/// unavailable.
+const UNLISTED_RETENTION: Micros = 600 * SECOND;
+/// Maximum number of records: several times the number of backend servers that are supported.
+const MAX_RECORDS: usize = 8_192;
 
-/// What one start of a backend server said.
+/// The notices of one run of a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// Its pool.
     pub pool: Pool,
     /// Its name.
     pub server: Arc<str>,
-    /// When it started, in Unix milliseconds, if that is known.
+    /// Start time of its process, in Unix milliseconds, if known.
     pub born_ms: Option<u64>,
-    /// The limit for all instances together.
+    /// The rate limit for all instances together.
     pub limit: Limit,
-    /// Since when it is known to leave.
+    /// Since when it is known to be leaving.
     pub leaving: Option<Micros>,
-    /// Since when it asked for a rest, and its end.
+    /// Start and end of the rest that it asked for.
     pub rest: Option<(Micros, Micros)>,
-    /// When it said something last.
-    heard: Micros,
-    /// When its dispatcher was told last.
-    told: Micros,
-    /// Whether it says what cannot be read.
+    /// When an answer was last recorded.
+    last_heard: Micros,
+    /// When its dispatcher was last sent a report.
+    reported: Micros,
+    /// Whether it gave a notice that cannot be parsed.
     unclear: bool,
 }
 
-/// Why nothing may be sent to a backend server now.
+/// Why a request must not be sent to a backend server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// It is leaving.
+    /// The backend server is leaving.
     Leaving,
-    /// It wants a rest from this instance, for so much longer.
+    /// It asked this instance for a rest, with this many microseconds left.
     Resting(Micros),
-    /// It takes a limited number of requests, and the grant was not counted among them.
+    /// It has a rate limit, and the grant was not counted against it.
     Limited,
 }
 
 impl Withheld {
-    /// Its word in logs and metrics.
+    /// The word for the reason in logs and metrics.
     pub const fn word(self) -> &'static str {
         match self {
             Withheld::Leaving => "leaving",
@@ -76,59 +77,59 @@
     }
 }
 
-/// What the dispatcher of a grant knew of the limit.
+/// What the dispatcher of a grant knew of the rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownLimit {
-    /// Whether the grant was counted among those that the limit allows.
+    /// Whether the grant was counted against the limit.
     pub limited: bool,
-    /// When a request was sent whose answer lifted the limit, on the own clock.
+    /// When the request was sent whose answer lifted the limit, on the clock of this process.
     pub lifted: Option<Micros>,
 }
 
-/// An answer, as far as it says something of its backend server.
+/// An answer with the notice of its backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer<'a> {
     /// The pool of the request.
     pub pool: &'a Pool,
-    /// The backend server that answers.
+    /// The backend server that answered.
     pub server: &'a Backend,
-    /// When the request was sent; 0 if that is not known.
+    /// When the request was sent; 0 if unknown.
     pub sent: Micros,
-    /// What its grant was based on.
+    /// What its dispatcher knew of the limit.
     pub known_limit: KnownLimit,
-    /// What is said.
+    /// The notice.
     pub notice: &'a Notice,
 }
 
-/// How many backend servers have something in force.
+/// The numbers of backend servers with notices in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Of those with a limit.
+    /// With a limit.
     pub limited: usize,
-    /// Of those that leave.
+    /// Leaving.
     pub leaving: usize,
-    /// Of those at rest for this instance.
+    /// Resting from requests of this instance.
     pub resting: usize,
 }
 
-/// What backend servers said of themselves.
+/// The notices of all backend servers.
 #[derive(Debug, Default)]
 pub struct Notices {
     records: Mutex<HashMap<Arc<str>, Record>>,
-    /// How many records there are. Most of the time none, which costs no lock.
+    /// The number of records. It is usually 0, and then no lock is taken.
     len: AtomicUsize,
 }
 
 impl Notices {
-    /// Takes what a backend server says of itself in an answer that came now. Returns what its dispatcher is to be told.
+    /// Records the notice of an answer that arrived now. Returns the record if it is to be reported to the dispatcher.
     pub fn record_answer(&self, now: Micros, answer: &Answer<'_>) -> Option<Record> {
         let Answer { pool, server, .. } = *answer;
-        let says_something = *answer.notice != Notice::default() || answer.known_limit.limited;
-        if !says_something && self.len.load(Ordering::Acquire) == 0 {
+        let has_content = *answer.notice != Notice::default() || answer.known_limit.limited;
+        if !has_content && self.len.load(Ordering::Acquire) == 0 {
             return None;
         }
         let mut records = self.lock();
-        if !says_something && !records.contains_key(&server.name) {
+        if !has_content && !records.contains_key(&server.name) {
             return None;
         }
         let record =
@@ -139,18 +140,19 @@
         if record.born_ms < server.born_ms {
             *record = Record::new(pool, server);
         }
-        let told = record.take(now, answer).then(|| record.clone());
-        if records.len() > MOST {
-            let oldest = records.values().min_by_key(|record| record.heard);
+        let reported = record.update(now, answer).then(|| record.clone());
+        if records.len() > MAX_RECORDS {
+            let oldest = records.values().min_by_key(|record| record.last_heard);
             let oldest = oldest.map(|record| record.server.clone());
             oldest.and_then(|oldest| records.remove(&oldest));
         }
         self.len.store(records.len(), Ordering::Release);
-        told
+        reported
     }
 
-    /// Why a request that was granted on a basis may not be sent to a backend server now, with what the dispatcher of the
-    /// grant is to be told.
+    /// Why a granted request must not be sent to a backend server now, with the record to be reported to the
+    /// dispatcher;
+    /// `None` if it may be sent. `known_limit` is what the dispatcher knew.
     pub fn withheld(
         &self,
         now: Micros,
@@ -163,17 +165,17 @@
         let mut records = self.lock();
         let record = records.get_mut(&server.name);
         let record = record.filter(|record| record.born_ms >= server.born_ms)?;
-        record.learn(known_limit);
-        Some((record.withholds(now, known_limit)?, record.clone()))
+        record.learn_limit(known_limit);
+        Some((record.withheld_reason(now, known_limit)?, record.clone()))
     }
 
-    /// Whether a backend server said that it leaves.
+    /// Whether a backend server announced that it is leaving.
     pub fn leaves(&self, server: &Backend) -> bool {
         let leaves = |record: &Record| record.leaving.is_some() && record.born_ms >= server.born_ms;
         self.len.load(Ordering::Acquire) > 0 && self.lock().get(&server.name).is_some_and(leaves)
     }
 
-    /// All that is in force of a pool, for a dispatcher that does not know it.
+    /// All records in force for a pool, to be reported to a dispatcher that does not know them.
     pub fn in_force_for(&self, now: Micros, pool: &Pool) -> Vec<Record> {
         if self.len.load(Ordering::Acquire) == 0 {
             return Vec::new();
@@ -183,7 +185,7 @@
         of_pool.filter(|record| record.is_in_force(now)).cloned().collect()
     }
 
-    /// All that is in force, by name.
+    /// All records in force, sorted by name.
     pub fn all_in_force(&self, now: Micros) -> Vec<Record> {
         let records = self.lock();
         let mut all: Vec<Record> =
@@ -192,18 +194,18 @@
         all
     }
 
-    /// How many backend servers have something in force.
+    /// The numbers of backend servers with notices in force.
     pub fn totals(&self, now: Micros) -> Totals {
         let mut sum = Totals::default();
         for record in self.lock().values() {
             sum.limited += usize::from(record.limit.rate().is_some());
             sum.leaving += usize::from(record.leaving.is_some());
-            sum.resting += usize::from(record.rests(now));
+            sum.resting += usize::from(record.is_resting(now));
         }
         sum
     }
 
-    /// Forgets what starts said that are over, or have not been listed for long.
+    /// Removes the records of earlier runs of listed backend servers, and of servers that have long been unlisted.
     pub fn keep_listed(&self, now: Micros, directory: &Directory) {
         if self.len.load(Ordering::Acquire) == 0 {
             return;
@@ -211,7 +213,7 @@
         let mut records = self.lock();
         records.retain(|name, record| match directory.backend(&record.pool, name) {
             Some(listed) => listed.born_ms <= record.born_ms,
-            None => now < record.heard + REMEMBERED,
+            None => now < record.last_heard + UNLISTED_RETENTION,
         });
         self.len.store(records.len(), Ordering::Release);
     }
@@ -230,38 +232,40 @@
             limit: Limit::default(),
             leaving: None,
             rest: None,
-            heard: 0,
-            told: 0,
+            last_heard: 0,
+            reported: 0,
             unclear: false,
         }
     }
 
-    /// Takes what an answer said. Returns whether the dispatcher is to be told.
-    fn take(&mut self, now: Micros, answer: &Answer<'_>) -> bool {
+    /// Updates the record from an answer. Returns whether it is to be reported to the dispatcher.
+    fn update(&mut self, now: Micros, answer: &Answer<'_>) -> bool {
         let notice = answer.notice;
-        self.heard = now;
-        let mut changed = self.take_limit(now, answer.sent, notice);
+        self.last_heard = now;
+        let mut changed = self.update_limit(now, answer.sent, notice);
         if notice.leaving && self.leaving.is_none() {
             self.leaving = Some(now);
             self.log("a backend server says that it leaves");
             changed = true;
         }
         if let Some(rest) = notice.rest_ms.filter(|rest| *rest > 0) {
-            changed |= self.take_rest(now, now + rest * MILLISECOND);
+            changed |= self.update_rest(now, now + rest * MILLISECOND);
         }
         if notice.unclear && !std::mem::replace(&mut self.unclear, true) {
-            self.log("a backend server says of itself what cannot be read");
+            self.log("a backend server gave a notice that cannot be read");
         }
-        // Others may have heard a limit of which this instance knows nothing: they are told that it was not named.
-        let is_named = notice.limit.is_some() || answer.known_limit.limited && !notice.unclear;
-        let due = is_named && now >= self.told + TOLD_EVERY;
+        // A grant counted against a limit shows that another instance knows one. If the answer announces none, that is
+        // reported.
+        let concerns_limit =
+            notice.limit.is_some() || answer.known_limit.limited && !notice.unclear;
+        let due = concerns_limit && now >= self.reported + REPORT_INTERVAL;
         if changed || due {
-            self.told = now;
+            self.reported = now;
         }
         changed || due
     }
 
-    fn take_limit(&mut self, now: Micros, sent: Micros, notice: &Notice) -> bool {
+    fn update_limit(&mut self, now: Micros, sent: Micros, notice: &Notice) -> bool {
         let changed = match notice.limit {
             Some(rate) => self.limit.announce(now, rate),
             None if notice.unclear => false,
@@ -269,24 +273,25 @@
         };
         match self.limit.rate() {
             Some(_) if changed => self.log("a backend server names a limit"),
-            None if changed => self.log("a backend server names no limit any more"),
+            None if changed => self.log("a backend server lifted its limit"),
             _ => {}
         }
         changed
     }
 
-    /// Takes what the dispatcher of a grant heard of the limit from others.
-    fn learn(&mut self, known_limit: KnownLimit) {
+    /// Applies what the dispatcher of a grant knew of the limit from other instances.
+    fn learn_limit(&mut self, known_limit: KnownLimit) {
         if known_limit.lifted.is_some_and(|lifted| self.limit.lift(lifted)) {
-            self.log("others heard that a backend server names no limit any more");
+            self.log("other instances reported that a backend server lifted its limit");
         }
     }
 
-    /// A rest ends when the later one of two ends. Returns whether that is new.
-    fn take_rest(&mut self, now: Micros, until: Micros) -> bool {
+    /// Records a rest until `until`. Of two overlapping rests the later end counts. Returns whether it is to be
+    /// reported.
+    fn update_rest(&mut self, now: Micros, until: Micros) -> bool {
         match &mut self.rest {
             Some((_, end)) if now < *end => {
-                let is_new = until > *end + SAME_END;
+                let is_new = until > *end + REST_TOLERANCE;
                 *end = until.max(*end);
                 is_new
             }
@@ -298,16 +303,16 @@
         }
     }
 
-    fn rests(&self, now: Micros) -> bool {
+    fn is_resting(&self, now: Micros) -> bool {
         self.rest.is_some_and(|(_, until)| now < until)
     }
 
     fn is_in_force(&self, now: Micros) -> bool {
-        self.limit.rate().is_some() || self.leaving.is_some() || self.rests(now)
+        self.limit.rate().is_some() || self.leaving.is_some() || self.is_resting(now)
     }
 
-    /// Why nothing that was granted on a basis may be sent now.
-    fn withholds(&self, now: Micros, known_limit: KnownLimit) -> Option<Withheld> {
+    /// Why a request whose dispatcher had this knowledge of the limit must not be sent now.
+    fn withheld_reason(&self, now: Micros, known_limit: KnownLimit) -> Option<Withheld> {
         if self.leaving.is_some() {
             return Some(Withheld::Leaving);
         }
