--- a/crates/drumusher-duty/src/lease.rs
+++ b/crates/drumusher-duty/src/lease.rs
@@ -1,17 +1,18 @@
-//! Which instance has the duties, and until when it may act.
+//! The lease on the duties: which instance has them, and until when it may act.
 //!
-//! The platform's store holds one [`State`]. It is replaced only by who knows its version, the offset after it,
-//! so that of two replacements at most one is done. The holder renews it. Who stands by looks at it, and takes it
-//! over once it has seen the same version for the whole length of the lease. The holder itself counts that time
-//! from before it sent the renewal, which is earlier than anybody can have seen it, and stops [`MARGIN`] before
-//! its end: so it has stopped, by its own clock alone, when another begins. No clock is compared with another's.
+//! A register of the platform's store holds the [`State`]. It is replaced by compare-and-swap on its version, the
+//! offset after it, so that of two concurrent replacements at most one succeeds. The holder renews the lease. A
+//! standby reads the register, and takes the lease over once it has seen the same version for the whole length of the
+//! lease. The holder counts that length from before it sent the renewal, which is earlier than any other instance can
+//! have seen it, and stops [`SAFETY_MARGIN`] before the end. So it has stopped, by its own clock alone, before
+//! another instance starts. Clocks of different instances are never compared.
 //!
-//! The store may come back from a copy and have lost the latest versions, so that what it holds says nothing of who
-//! holds the lease: it is foreign. Whoever stands by waits for the whole length from when it saw a foreign version first.
-//! The holder whose lease still runs replaces it at once, since nobody else can have begun.
+//! The store may be restored from a backup and have lost the latest versions. A version from before the restore says
+//! nothing about who holds the lease. A standby waits for the whole length after it first saw such a version. A holder
+//! whose lease is still valid replaces it at once, since no other instance can have started.
 //!
-//! A replacement that was not answered may be done later, or never. What it was meant for counts only once it is
-//! read back, with the time at which it was sent.
+//! A replacement without an answer may be applied later, or never. Its lease counts only once the register is read back
+//! with it, from the time at which it was sent.
 
 use drumusher_log::position::{Era, Position};
 use serde::{Deserialize, Serialize};
@@ -21,19 +22,19 @@
     usage::Progress,
 };
 
-/// The holder stops so long before its lease ends. Between its last look at the clock and the arrival of what it
-/// sends lie the scheduling of a thread and a link: some tens of milliseconds on a slowed machine.
-pub const MARGIN: Micros = 300 * MILLISECOND;
-/// Renewals within the length of a lease: two may fail before it ends.
-const RENEWALS: u64 = 3;
-/// Looks within the length of a lease by those who stand by. A lease is taken over at the first look after its
-/// end, so that more of them shorten a gap by less than they cost.
-const LOOKS: u64 = 2;
+/// The holder stops this long before its lease ends. Between its last reading of the clock and the arrival of a call,
+/// thread scheduling and the network take some tens of milliseconds on a slow machine.
+pub const SAFETY_MARGIN: Micros = 300 * MILLISECOND;
+/// Renewals within the length of a lease: two of them may fail before it ends.
+const RENEWALS_PER_LEASE: u64 = 3;
+/// Reads of the register by a standby within the length of a lease. A lease is taken over at the first read after its
+/// end, and more reads would cost more than the shorter gap is worth.
+const READS_PER_LEASE: u64 = 2;
 /// Pause after a call that failed.
-const RETRY: Micros = 250 * MILLISECOND;
-/// Pause after a replacement that came too late.
-const OUTDATED: Micros = 20 * MILLISECOND;
-/// Bits of a token below its era: more offsets than a register gets in one.
+const RETRY_PAUSE: Micros = 250 * MILLISECOND;
+/// Pause after a replacement that lost against another one.
+const CONFLICT_PAUSE: Micros = 20 * MILLISECOND;
+/// Bits of a token below its era, enough for all offsets of a register in one era.
 const OFFSET_BITS: u32 = 40;
 
 /// A process of an instance.
@@ -41,200 +42,201 @@
 pub struct Holder {
     /// The instance's name.
     pub name: String,
-    /// Drawn at each start of its process.
+    /// Random number drawn at each start of the process.
     pub boot: u64,
 }
 
-/// What the register holds.
+/// The content of the register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Who has the duties; nobody after a planned stop.
+    /// The lease holder; `None` after a planned stop.
     pub holder: Option<Holder>,
-    /// Goes along with each call of this holder. It follows from the version that the holder replaced when it
-    /// began, with its era, and rises with each new one. 0 before the first one.
+    /// Fencing token that is sent with each call of this holder. It is derived from the era and offset of the version
+    /// that the holder replaced when its term started, and grows with each term. 0 before the first holder.
     pub token: u64,
-    /// How far the usage is reported.
+    /// Progress of the usage reports.
     pub usage: Progress,
 }
 
-/// The register as it was read.
+/// A version of the register.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Version {
-    /// The position after it, by which it is replaced.
+    /// The position after it, which a replacement has to name.
     pub end: Position,
-    /// What it holds; the default if nobody wrote it yet.
+    /// Its content; the default if the register was never written.
     pub state: State,
 }
 
 impl Version {
-    /// Whether it was written in another era than that of the register: later versions may be lost.
-    pub fn is_foreign(&self) -> bool {
+    /// Whether it was written in an earlier era than the register's current one, so that later versions may be lost.
+    pub fn predates_restore(&self) -> bool {
         era_of(self.state.token) != self.end.era
     }
 
-    /// The token of who replaces it and begins.
+    /// The token of a holder whose term starts by replacing it.
     fn next_token(&self) -> u64 {
         (self.end.era << OFFSET_BITS) + self.end.offset + 1
     }
 }
 
-/// The era in which a token was given.
+/// The era in which a token was issued.
 fn era_of(token: u64) -> Era {
     token >> OFFSET_BITS
 }
 
-/// What to do next.
+/// The next step of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read the register.
-    Look,
+    Read,
     /// Replace the version that ends at `expect`.
     Replace {
-        /// The end of the version to be replaced.
+        /// The end position of the version to be replaced.
         expect: Position,
-        /// What takes its place.
+        /// The new content.
         state: State,
     },
-    /// Nothing until then.
+    /// Wait until this time.
     Wait(Micros),
 }
 
-/// What became of a replacement.
+/// The outcome of a replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Replaced {
-    /// It is done.
+    /// It was applied.
     Done,
-    /// Another version stands there; it is not done and never will be.
+    /// The register has another version: it was not applied and never will be.
     Outdated,
-    /// Nothing was done, or nobody knows.
+    /// It was not applied, or the outcome is unknown.
     Unknown,
 }
 
-/// Leave to act.
+/// Permission to make a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Goes along with the call.
+    /// The fencing token to be sent with the call.
     pub token: u64,
-    /// Nothing may be sent after this.
+    /// Nothing may be sent after this time.
     pub until: Micros,
 }
 
-/// How a lease is held.
+/// Settings of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// How long a lease lasts without being renewed.
     pub length: Micros,
-    /// Two spells of the same instance, with another's between them, are so far apart that nobody takes the three
-    /// for one confusion.
+    /// Minimum time between the calls of two terms of the same instance with another's term between them, so that the
+    /// alternation is not taken for two concurrent holders.
     pub min_gap: Micros,
 }
 
-/// A replacement whose outcome is not known.
+/// A replacement whose outcome is unknown.
 #[derive(Clone, Debug)]
-struct Unsure {
+struct Unconfirmed {
     sent: Micros,
     expect: Position,
     state: State,
 }
 
-/// One instance's part in holding the duties.
+/// The lease as one instance sees it.
 #[derive(Clone, Debug)]
 pub struct Lease {
     own: Holder,
     options: Options,
-    /// The register as it was read or written last, and when that version was seen first.
-    seen: Option<(Version, Micros)>,
-    /// Whether it has to be read before anything else.
-    stale: bool,
-    looked: Micros,
-    unsure: Option<Unsure>,
-    /// The end of the own lease, if there is one.
+    /// The version of the register that was last read or written, and when this instance first saw it.
+    observed: Option<(Version, Micros)>,
+    /// Whether the register has to be read before any other step.
+    must_read: bool,
+    /// When the register was last read.
+    read_at: Micros,
+    unconfirmed: Option<Unconfirmed>,
+    /// The end of the own lease; 0 without one.
     until: Micros,
-    /// When the latest renewal that was done was sent.
-    renewed: Micros,
-    /// The token of the current spell.
+    /// When the latest successful renewal was sent.
+    renewed_at: Micros,
+    /// The token of the current term.
     token: Option<u64>,
-    /// The progress in the latest own version.
+    /// The progress in the latest version that this instance wrote.
     progress: Progress,
-    /// The end of the latest own act; the start of the process before one.
-    acted: Micros,
-    /// No act before this.
-    quiet: Micros,
-    /// No call before this.
-    paused: Micros,
+    /// When the latest own call ended; the start of the process if there was none.
+    call_ended: Micros,
+    /// No call is permitted before this time.
+    no_call_before: Micros,
+    /// No step is taken before this time.
+    paused_until: Micros,
     /// A token that the platform refused.
-    refused: Option<u64>,
+    refused_token: Option<u64>,
 }
 
 impl Lease {
-    /// An instance whose process started at `started`.
+    /// Creates the lease of an instance whose process started at `started`.
     pub fn new(own: Holder, options: Options, started: Micros) -> Self {
         Lease {
             own,
             options,
-            seen: None,
-            stale: true,
-            looked: 0,
-            unsure: None,
+            observed: None,
+            must_read: true,
+            read_at: 0,
+            unconfirmed: None,
             until: 0,
-            renewed: 0,
+            renewed_at: 0,
             token: None,
             progress: Progress::default(),
-            acted: started,
-            quiet: 0,
-            paused: 0,
-            refused: None,
+            call_ended: started,
+            no_call_before: 0,
+            paused_until: 0,
+            refused_token: None,
         }
     }
 
-    /// What to do next, to hold the lease with this progress. With `leave` it is given up.
+    /// The next step to acquire or renew the lease with this progress. With `leave` the lease is released.
     pub fn next(&self, now: Micros, usage: &Progress, leave: bool) -> Step {
-        if now < self.paused {
-            return Step::Wait(self.paused);
+        if now < self.paused_until {
+            return Step::Wait(self.paused_until);
         }
-        let Some((version, since)) = self.seen.as_ref().filter(|_| !self.stale) else {
-            return Step::Look;
+        let Some((version, since)) = self.observed.as_ref().filter(|_| !self.must_read) else {
+            return Step::Read;
         };
         match (self.is_own(version), leave) {
-            (true, true) => self.replace(version, None, usage),
+            (true, true) => self.replacement(version, None, usage),
             (false, true) => Step::Wait(now + self.options.length),
-            (true, false) => self.renew(now, version, usage),
-            (false, false) => self.stand_by(now, version, *since),
+            (true, false) => self.renewal_step(now, version, usage),
+            (false, false) => self.standby_step(now, version, *since),
         }
     }
 
-    fn renew(&self, now: Micros, version: &Version, usage: &Progress) -> Step {
-        let due = self.renewed + self.options.length / RENEWALS;
+    fn renewal_step(&self, now: Micros, version: &Version, usage: &Progress) -> Step {
+        let due = self.renewed_at + self.options.length / RENEWALS_PER_LEASE;
         if now < due && version.state.usage == *usage {
             return Step::Wait(due);
         }
-        self.replace(version, Some(version.state.token), usage)
+        self.replacement(version, Some(version.state.token), usage)
     }
 
-    fn stand_by(&self, now: Micros, version: &Version, since: Micros) -> Step {
-        let runs = version.is_foreign() && now < self.until;
+    fn standby_step(&self, now: Micros, version: &Version, since: Micros) -> Step {
+        let is_valid = version.predates_restore() && now < self.until;
         let ends = match &version.state.holder {
-            _ if runs => now,
-            _ if version.is_foreign() => since + self.options.length,
+            _ if is_valid => now,
+            _ if version.predates_restore() => since + self.options.length,
             None => now,
-            // The earlier process of the same instance has ended.
+            // An earlier process of this instance has ended.
             Some(holder) if holder.name == self.own.name => now,
             Some(_) => since + self.options.length,
         };
         if now >= ends {
-            let usage = match version.is_foreign() {
-                true if runs => self.progress.clone(),
+            let usage = match version.predates_restore() {
+                true if is_valid => self.progress.clone(),
                 true => version.state.usage.after_loss(),
                 false => version.state.usage.clone(),
             };
-            return self.replace(version, Some(version.next_token()), &usage);
+            return self.replacement(version, Some(version.next_token()), &usage);
         }
-        let look = self.looked + self.options.length / LOOKS;
-        if now >= look { Step::Look } else { Step::Wait(look.min(ends)) }
+        let next_read = self.read_at + self.options.length / READS_PER_LEASE;
+        if now >= next_read { Step::Read } else { Step::Wait(next_read.min(ends)) }
     }
 
-    /// The step that puts this instance with a token, or nobody, in place of a version.
-    fn replace(&self, version: &Version, token: Option<u64>, usage: &Progress) -> Step {
+    /// The step that replaces a version by one that names this instance as holder if a token is given, else no holder.
+    fn replacement(&self, version: &Version, token: Option<u64>, usage: &Progress) -> Step {
         let state = State {
             holder: token.map(|_| self.own.clone()),
             token: token.unwrap_or(version.state.token),
@@ -245,24 +247,26 @@
 
     fn is_own(&self, version: &Version) -> bool {
         let State { holder, token, .. } = &version.state;
-        holder.as_ref() == Some(&self.own) && self.refused != Some(*token) && !version.is_foreign()
+        holder.as_ref() == Some(&self.own)
+            && self.refused_token != Some(*token)
+            && !version.predates_restore()
     }
 
-    /// The register was read.
+    /// Handles a successful read of the register.
     pub fn read(&mut self, now: Micros, version: Version) {
-        self.looked = now;
-        self.stale = false;
-        if let Some(unsure) = self.unsure.take()
-            && version.end == unsure.expect.advance(1)
-            && version.state == unsure.state
+        self.read_at = now;
+        self.must_read = false;
+        if let Some(unconfirmed) = self.unconfirmed.take()
+            && version.end == unconfirmed.expect.advance(1)
+            && version.state == unconfirmed.state
         {
-            self.done(now, unsure.sent, version);
+            self.confirm(now, unconfirmed.sent, version);
             return;
         }
-        self.see(now, version);
+        self.observe(now, version);
     }
 
-    /// A step of [`Step::Replace`] that was sent at `sent` came to an end.
+    /// Handles the outcome of a [`Step::Replace`] that was sent at `sent`.
     pub fn replaced(
         &mut self,
         now: Micros,
@@ -271,88 +275,88 @@
         state: State,
         how: Replaced,
     ) {
-        // Who gives the lease up has stopped, also if nobody answers: another may take it at once.
+        // A released lease ends at once, even without an answer: another instance may take it immediately.
         if state.holder.is_none() {
             self.until = 0;
         }
         match how {
-            Replaced::Done => self.done(now, sent, Version { end: expect.advance(1), state }),
+            Replaced::Done => self.confirm(now, sent, Version { end: expect.advance(1), state }),
             Replaced::Outdated => {
-                self.stale = true;
-                self.paused = now + OUTDATED;
+                self.must_read = true;
+                self.paused_until = now + CONFLICT_PAUSE;
             }
             Replaced::Unknown => {
-                self.stale = true;
-                self.paused = now + RETRY;
-                self.unsure = Some(Unsure { sent, expect, state });
+                self.must_read = true;
+                self.paused_until = now + RETRY_PAUSE;
+                self.unconfirmed = Some(Unconfirmed { sent, expect, state });
             }
         }
     }
 
-    /// A read failed.
-    pub fn failed(&mut self, now: Micros) {
-        self.paused = now + RETRY;
+    /// Handles a failed read of the register.
+    pub fn read_failed(&mut self, now: Micros) {
+        self.paused_until = now + RETRY_PAUSE;
     }
 
-    fn done(&mut self, now: Micros, sent: Micros, version: Version) {
-        self.unsure = None;
-        let runs = sent < self.until;
+    fn confirm(&mut self, now: Micros, sent: Micros, version: Version) {
+        self.unconfirmed = None;
+        let is_continued = sent < self.until;
         if self.is_own(&version) {
-            self.renewed = sent;
+            self.renewed_at = sent;
             self.until = sent + self.options.length;
-            if runs {
-                // Nobody else can have begun, so that this spell goes on with what may be a new token.
+            if is_continued {
+                // No other instance can have started, so the term continues, possibly with a new token.
                 self.token = Some(version.state.token);
             }
         }
-        self.see(now, version);
+        self.observe(now, version);
     }
 
-    fn see(&mut self, now: Micros, version: Version) {
+    fn observe(&mut self, now: Micros, version: Version) {
         let token = self.is_own(&version).then_some(version.state.token);
         if token.is_some() {
             self.progress = version.state.usage.clone();
-        } else if !version.is_foreign() {
+        } else if !version.predates_restore() {
             self.until = 0;
         }
         if token.is_some() && token != self.token {
-            // Before the first holder nobody can have acted.
+            // Before the first holder no call can have been made.
             let first = version.end <= Position::new(0, 1);
-            self.quiet = if first { now } else { self.acted + self.options.min_gap };
+            self.no_call_before = if first { now } else { self.call_ended + self.options.min_gap };
         }
         self.token = token;
-        let since = self.seen.take().filter(|(before, _)| *before == version);
+        let since = self.observed.take().filter(|(before, _)| *before == version);
         let since = since.map_or(now, |(_, since)| since);
-        self.seen = Some((version, since));
+        self.observed = Some((version, since));
     }
 
-    /// Leave for an act that ends within `within`, if this instance has the duties.
+    /// Permits a call that ends within `within`, if this instance has the duties.
     pub fn permit(&self, now: Micros, within: Micros) -> Option<Permit> {
-        let until = self.until.saturating_sub(MARGIN);
+        let until = self.until.saturating_sub(SAFETY_MARGIN);
         let token = self.token?;
-        (now >= self.quiet && now + within <= until).then_some(Permit { token, until })
+        (now >= self.no_call_before && now + within <= until).then_some(Permit { token, until })
     }
 
-    /// An act ended, or was given up.
-    pub fn acted(&mut self, now: Micros) {
-        self.acted = now;
+    /// Records that a call ended or was given up.
+    pub fn call_ended(&mut self, now: Micros) {
+        self.call_ended = now;
     }
 
-    /// The platform refused the token, because it has seen a higher one. It is not used again.
-    pub fn refused(&mut self, now: Micros) {
-        self.refused = self.token.take();
+    /// Records that the platform refused the token, since it has seen a higher one. The token is not used again.
+    pub fn token_refused(&mut self, now: Micros) {
+        self.refused_token = self.token.take();
         self.until = 0;
-        self.stale = true;
-        self.paused = now + self.options.min_gap;
+        self.must_read = true;
+        self.paused_until = now + self.options.min_gap;
     }
 
-    /// The progress that stands in the register, if this instance has the duties.
+    /// The progress in the register, if this instance has the duties.
     pub fn usage(&self) -> Option<&Progress> {
         self.token?;
-        self.seen.as_ref().map(|(version, _)| &version.state.usage)
+        self.observed.as_ref().map(|(version, _)| &version.state.usage)
     }
 
-    /// The token of the current spell, if this instance has the duties.
+    /// The token of the current term, if this instance has the duties.
     pub fn token(&self) -> Option<u64> {
         self.token
     }
--- a/crates/drumusher-duty/src/sizing.rs
+++ b/crates/drumusher-duty/src/sizing.rs
@@ -1,72 +1,72 @@
-//! How many backend servers of a service each availability zone is to have.
+//! Autoscaling: the number of backend servers of a service in each availability zone.
 //!
-//! Two kinds can be ordered. *Ordinary* ones stay until they are ordered away. *Spot* ones cost a part of that,
-//! and may be taken away, all of a zone's at once, with a notice of seconds, after which there may be none to be
-//! had for a while. So spot servers carry the load, spread over the zones so that what is left carries it when
-//! those of one zone go, beside the fewest ordinary ones that are allowed. Ordinary ones fill up what is missing
-//! while no spot servers can be had.
+//! There are two kinds of servers. *Ordinary* ones run until they are scaled down. *Spot* ones cost a fraction of
+//! that, but may be reclaimed, all of a zone's at once, with a notice of seconds, and may then be unavailable for a
+//! while. So spot servers carry the load, beside the minimum number of ordinary servers, and are spread over the
+//! zones so that the rest carries the load when one zone loses its spot servers. While spot servers are unavailable,
+//! ordinary ones replace them.
 //!
-//! What is wanted follows from the requests that run or wait at once: the usual number, with room for a burst, and
-//! the most there were lately. A server takes seconds to start, within which a burst of two to three times the
-//! usual is over or has done its harm: there is room for it beforehand, as much as the price of the servers allows.
+//! The target follows from the number of requests that run or wait: its mean with headroom for a burst, and its recent
+//! peak. A server takes seconds to start, within which a burst of two to three times the mean is over or has done its
+//! damage. So there is headroom beforehand, as much as the price of the servers justifies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::time::{Micros, SECOND};
 
-/// Places for each request that usually runs or waits, at the price of ordinary servers.
+/// Slots for each request of the mean load, at the price of ordinary servers.
 const HEADROOM_ORDINARY: f64 = 1.6;
-/// The same of a server that costs nothing: a burst of nearly three times the usual finds room.
+/// Slots for each request of the mean load if servers were free: enough for a burst of nearly three times the mean.
 const HEADROOM_FREE: f64 = 2.8;
-/// Places for each of the most requests at once lately.
+/// Slots for each request of the recent peak load.
 const HEADROOM_PEAK: f64 = 1.2;
-/// Time constant of the usual number, in microseconds.
-const USUAL: f64 = 8.0 * SECOND as f64;
-/// Time constant with which the most requests at once are forgotten, in microseconds: bursts come again within
-/// such a time, and starting servers again costs seconds in which they are late.
-const MEMORY: f64 = 30.0 * SECOND as f64;
-/// More servers are wanted only if so great a part of them is missing: each order is a call, and the number of
-/// requests never stands still.
-const GROWTH: f64 = 0.1;
-/// Fewer servers are wanted when that has been due for so long. Servers that went nine seconds into a day were
-/// missed in a burst three seconds later: 425 of 6,566 of the most urgent requests late, 150 with those servers.
-const PATIENCE: Micros = 30 * SECOND;
-/// Fewer servers are wanted only if so great a part of them is too many: starting one again costs more than
-/// keeping it for a while.
-const SLACK: f64 = 0.15;
-/// Nothing is ordered before no further server was found for so long: who has just the duty may know few of them,
-/// and would order all others away. Entries are written each second or so.
-const SETTLE: Micros = 3 * SECOND / 2;
-/// Pause after an order that could not be met, doubled up to [`DRY_MOST`].
-const DRY_FIRST: Micros = SECOND;
-/// Longest pause after orders that could not be met.
-const DRY_MOST: Micros = 4 * SECOND;
-/// An order that shows no effect for so long after the time to start a server is given again.
-const UNMET: Micros = 3 * SECOND;
+/// Time constant of the moving average of the load, in microseconds.
+const MEAN_TIME_CONSTANT: f64 = 8.0 * SECOND as f64;
+/// Time constant of the decay of the peak load, in microseconds. Bursts recur within such a time, and requests are late
+/// for the seconds that starting servers again takes.
+const PEAK_TIME_CONSTANT: f64 = 30.0 * SECOND as f64;
+/// Minimum growth of the target, as a fraction: each order is a call, and the load always varies a little.
+const MIN_GROWTH: f64 = 0.1;
+/// The target shrinks only after a lower load has lasted for this time. Servers that were scaled down nine seconds
+/// into a run were missing in a burst three seconds later: 425 of 6,566 requests of the most urgent class were late,
+/// against 150 with those servers.
+const SHRINK_DELAY: Micros = 30 * SECOND;
+/// Minimum reduction of the target, as a fraction: starting a server again costs more than keeping it for a while.
+const MIN_SHRINK: f64 = 0.15;
+/// Nothing is ordered until the number of known servers has not grown for this time. An instance that has just
+/// acquired the lease may know only few servers, and would scale down the others. Servers renew their entries about
+/// once a second.
+const DISCOVERY_TIME: Micros = 3 * SECOND / 2;
+/// First pause after a failed order, doubled with each further one up to [`MAX_ORDER_PAUSE`].
+const MIN_ORDER_PAUSE: Micros = SECOND;
+/// Longest pause after failed orders.
+const MAX_ORDER_PAUSE: Micros = 4 * SECOND;
+/// An order without effect is repeated after the startup time of a server plus this time.
+const UNMET_ORDER_TIMEOUT: Micros = 3 * SECOND;
 
 /// The kind of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Stays until it is ordered away.
+    /// Runs until it is scaled down.
     Ordinary,
-    /// Cheaper, and may be taken away.
+    /// Cheaper, but may be reclaimed at short notice.
     Spot,
 }
 
-/// What the operators allow.
+/// The limits and prices that the operators set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Fewest servers of a zone, both kinds together.
-    pub least: u32,
-    /// Most servers of a zone, both kinds together.
-    pub most: u32,
-    /// Time until a new server serves.
-    pub boot: Micros,
-    /// The price of a spot server as a part of an ordinary one's; 1 where there are none.
+    /// Minimum number of servers in a zone, both kinds together.
+    pub min_servers: u32,
+    /// Maximum number of servers in a zone, both kinds together.
+    pub max_servers: u32,
+    /// Time until a new server accepts requests.
+    pub startup: Micros,
+    /// The price of a spot server as a fraction of an ordinary one's; 1 if there are no spot servers.
     pub spot_price: f64,
 }
 
-/// The servers of a zone that take requests.
+/// The number of servers in a zone that accept requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Ordinary ones.
@@ -76,12 +76,12 @@
 }
 
 impl Count {
-    /// Both kinds.
+    /// The number of servers of both kinds.
     pub fn all(self) -> u32 {
         self.ordinary + self.spot
     }
 
-    /// Those of a kind.
+    /// The number of servers of a kind.
     pub fn of(self, kind: Kind) -> u32 {
         match kind {
             Kind::Ordinary => self.ordinary,
@@ -90,147 +90,148 @@
     }
 }
 
-/// The servers of a service that take requests, by zone.
+/// The number of servers of a service that accept requests, by zone.
 pub type Zones = BTreeMap<String, Count>;
 
-/// An order: so many servers of a kind in a zone.
+/// An order to the platform: the number of servers of a kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The zone.
     pub zone: String,
     /// The kind.
     pub kind: Kind,
-    /// How many there are to be.
+    /// The number of servers that there are to be.
     pub count: u32,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The platform took it.
+    /// The platform accepted it.
     Taken,
-    /// There are none to be had now.
-    Dry,
-    /// Nobody knows.
+    /// No such servers are available now.
+    Unavailable,
+    /// It is unknown whether the platform accepted it.
     Unknown,
 }
 
-/// How the zones of a service are filled.
+/// How the servers of a service are spread over its zones.
 #[derive(Clone, Copy, Debug)]
 struct Layout {
-    /// Zones.
+    /// The number of zones.
     zones: u32,
-    /// Whether spot servers are worth having: with them, what is left when those of a zone go is to be enough, so
-    /// that more are needed.
+    /// Whether spot servers are cheaper although more are needed: the rest has to be enough when one zone loses its
+    /// spot servers.
     spot: bool,
 }
 
 impl Layout {
     fn new(bounds: &Bounds, zones: u32) -> Self {
-        let more = f64::from(zones) / f64::from(zones.saturating_sub(1).max(1));
-        Layout { zones, spot: bounds.spot_price * more < 1.0 }
+        let factor = f64::from(zones) / f64::from(zones.saturating_sub(1).max(1));
+        Layout { zones, spot: bounds.spot_price * factor < 1.0 }
     }
 
-    /// Whether the other zones make up for the spot servers of one.
-    fn spares_one(self) -> bool {
+    /// Whether the other zones can carry the load when one loses its spot servers.
+    fn has_spare_zone(self) -> bool {
         self.spot && self.zones > 1
     }
 
-    /// Servers of each zone where so many are needed in all.
-    fn each(self, servers: f64, bounds: &Bounds) -> u32 {
-        let zones = self.zones - u32::from(self.spares_one());
+    /// The number of servers of each zone, given the total that is needed.
+    fn per_zone(self, servers: f64, bounds: &Bounds) -> u32 {
+        let zones = self.zones - u32::from(self.has_spare_zone());
         let each = servers / f64::from(zones);
-        (each.ceil() as u32).clamp(bounds.least, bounds.most)
+        (each.ceil() as u32).clamp(bounds.min_servers, bounds.max_servers)
     }
 
-    /// Of those, the ordinary ones, at least. With a single zone nothing is left when its spot servers go: half of
-    /// them are ordinary.
-    fn base(self, each: u32, bounds: &Bounds) -> u32 {
+    /// The minimum number of ordinary servers among `each` servers of a zone. In a single zone half of them are
+    /// ordinary, since nothing else is left when its spot servers are reclaimed.
+    fn min_ordinary(self, each: u32, bounds: &Bounds) -> u32 {
         match (self.spot, self.zones) {
             (false, _) => each,
             (true, 1) => each.div_ceil(2),
-            (true, _) => bounds.least.min(each),
+            (true, _) => bounds.min_servers.min(each),
         }
     }
 
-    /// Of those, what is needed as long as no zone has lost its spot servers.
-    fn plain(self, each: u32) -> u32 {
-        if self.spares_one() { (each * (self.zones - 1)).div_ceil(self.zones) } else { each }
+    /// The number of servers, of `each` in a zone, that is needed while no zone has lost its spot servers.
+    fn without_spare(self, each: u32) -> u32 {
+        if self.has_spare_zone() { (each * (self.zones - 1)).div_ceil(self.zones) } else { each }
     }
 }
 
-/// An order that was given.
+/// The state of the orders for one kind in one zone.
 #[derive(Clone, Copy, Debug, Default)]
-struct Given {
-    /// The count that the platform took last.
+struct LastOrder {
+    /// The count that the platform last accepted.
     count: Option<u32>,
+    /// When it did.
     at: Micros,
-    /// No order before this.
-    paused: Micros,
+    /// No order is given before this time.
+    paused_until: Micros,
     pause: Micros,
 }
 
-/// The servers of one service.
+/// The autoscaler of one service.
 #[derive(Debug, Default)]
 pub struct Sizer {
-    /// The most servers that were there at once before anything was ordered, and since when.
-    first: u32,
-    first_at: Micros,
-    /// Whether spot servers were among them: somebody ordered these, with all that has to be spared.
-    ordered_before: bool,
-    /// Whether all that were there at the beginning are known.
+    /// The maximum number of servers seen before the first order, and when it was reached.
+    initial: u32,
+    initial_at: Micros,
+    /// Whether spot servers were among them. A previous lease holder ordered these, with the spare ones included.
+    had_spot: bool,
+    /// Whether all initial servers are known.
     settled: bool,
-    /// The zones in which servers were ever seen; one may lose all of them.
+    /// All zones in which servers were seen. A zone may lose all of its servers.
     zones: BTreeSet<String>,
-    /// The most requests that ran or waited at once, decayed to `seen_at`.
+    /// The peak number of requests that ran or waited, decayed to `updated_at`.
     peak: f64,
-    /// Their usual number.
-    usual: f64,
-    seen_at: Micros,
-    /// Servers of both kinds that each zone is to have, and since when fewer are due.
-    level: Option<u32>,
-    fewer: Option<Micros>,
-    /// Requests that run or wait now, as each dispatcher told last.
-    busy: BTreeMap<String, (Micros, u32)>,
-    given: BTreeMap<(String, Kind), Given>,
+    /// The moving average of their number.
+    mean: f64,
+    updated_at: Micros,
+    /// The target number of servers of both kinds in each zone, and since when a lower one is due.
+    target: Option<u32>,
+    shrink_since: Option<Micros>,
+    /// Requests that run or wait, with the time of the report, by dispatcher.
+    loads: BTreeMap<String, (Micros, u32)>,
+    orders: BTreeMap<(String, Kind), LastOrder>,
 }
 
-/// A dispatcher that told nothing for so long has nothing to tell.
-const TOLD_WITHIN: Micros = 2 * SECOND;
+/// A dispatcher without a report for this time has no load.
+const LOAD_TIMEOUT: Micros = 2 * SECOND;
 
 impl Sizer {
-    /// Nothing is known yet.
+    /// Creates an autoscaler without any state.
     pub fn new() -> Self {
         Sizer::default()
     }
 
-    /// A dispatcher tells how many requests ran or waited at once.
-    pub fn busy(&mut self, now: Micros, dispatcher: &str, requests: u32) {
-        self.busy.insert(dispatcher.into(), (now, requests));
-        self.busy.retain(|_, (at, _)| now < *at + TOLD_WITHIN);
-        let all: u32 = self.busy.values().map(|(_, requests)| requests).sum();
+    /// Records how many requests run or wait at a dispatcher.
+    pub fn record_load(&mut self, now: Micros, dispatcher: &str, requests: u32) {
+        self.loads.insert(dispatcher.into(), (now, requests));
+        self.loads.retain(|_, (at, _)| now < *at + LOAD_TIMEOUT);
+        let all: u32 = self.loads.values().map(|(_, requests)| requests).sum();
         let all = f64::from(all);
         self.peak = self.peak_now(now).max(all);
-        let age = now.saturating_sub(self.seen_at) as f64;
-        let first = self.usual == 0.0;
-        let kept = if first { 0.0 } else { (-age / USUAL).exp() };
-        self.usual = self.usual * kept + all * (1.0 - kept);
-        self.seen_at = now;
+        let age = now.saturating_sub(self.updated_at) as f64;
+        let first = self.mean == 0.0;
+        let kept = if first { 0.0 } else { (-age / MEAN_TIME_CONSTANT).exp() };
+        self.mean = self.mean * kept + all * (1.0 - kept);
+        self.updated_at = now;
     }
 
     fn peak_now(&self, now: Micros) -> f64 {
-        self.peak * (-(now.saturating_sub(self.seen_at) as f64) / MEMORY).exp()
+        self.peak * (-(now.saturating_sub(self.updated_at) as f64) / PEAK_TIME_CONSTANT).exp()
     }
 
-    /// Places that are wanted, by what was asked for lately; `None` if nothing was.
-    fn places(&self, now: Micros, bounds: &Bounds) -> Option<f64> {
+    /// The number of slots wanted for the recent load; `None` if there was no load.
+    fn wanted_slots(&self, now: Micros, bounds: &Bounds) -> Option<f64> {
         let price = bounds.spot_price.clamp(0.0, 1.0);
         let headroom = HEADROOM_FREE + (HEADROOM_ORDINARY - HEADROOM_FREE) * price;
-        let places = (self.usual * headroom).max(self.peak_now(now) * HEADROOM_PEAK);
-        (self.peak > 0.0).then_some(places)
+        let wanted = (self.mean * headroom).max(self.peak_now(now) * HEADROOM_PEAK);
+        (self.peak > 0.0).then_some(wanted)
     }
 
-    /// The next order that is due, where servers have `slots` places each.
+    /// The next order that is due, given the slots of a server.
     pub fn next(
         &mut self,
         now: Micros,
@@ -238,17 +239,17 @@
         zones: &Zones,
         slots: u32,
     ) -> Option<Order> {
-        if zones.is_empty() || slots == 0 || !self.settle(now, zones) {
+        if zones.is_empty() || slots == 0 || !self.update_settled(now, zones) {
             return None;
         }
         self.zones.extend(zones.keys().cloned());
-        let there = |zone: &String| zones.get(zone).copied().unwrap_or_default();
-        let zones: Zones = self.zones.iter().map(|zone| (zone.clone(), there(zone))).collect();
-        let wanted = self.wanted(now, bounds, &zones, slots);
+        let present = |zone: &String| zones.get(zone).copied().unwrap_or_default();
+        let zones: Zones = self.zones.iter().map(|zone| (zone.clone(), present(zone))).collect();
+        let wanted = self.targets(now, bounds, &zones, slots);
         for (zone, count) in &wanted {
             for kind in [Kind::Spot, Kind::Ordinary] {
-                let there = zones.get(zone).map_or(0, |there| there.of(kind));
-                if self.is_due(now, bounds, (zone, kind), count.of(kind), there) {
+                let present = zones.get(zone).map_or(0, |present| present.of(kind));
+                if self.is_due(now, bounds, (zone, kind), count.of(kind), present) {
                     return Some(Order { zone: zone.clone(), kind, count: count.of(kind) });
                 }
             }
@@ -256,50 +257,53 @@
         None
     }
 
-    /// Whether all servers that were there at the beginning are known.
-    fn settle(&mut self, now: Micros, zones: &Zones) -> bool {
+    /// Records the present servers until all initial ones are known. Returns whether they are.
+    fn update_settled(&mut self, now: Micros, zones: &Zones) -> bool {
         if self.settled {
             return true;
         }
-        let there = zones.values().map(|count| count.all()).sum();
-        if there > self.first {
-            (self.first, self.first_at) = (there, now);
+        let present = zones.values().map(|count| count.all()).sum();
+        if present > self.initial {
+            (self.initial, self.initial_at) = (present, now);
         }
-        self.ordered_before |= zones.values().any(|count| count.spot > 0);
-        self.settled = now >= self.first_at + SETTLE;
+        self.had_spot |= zones.values().any(|count| count.spot > 0);
+        self.settled = now >= self.initial_at + DISCOVERY_TIME;
         self.settled
     }
 
-    /// What became of an order.
+    /// Records the outcome of an order.
     pub fn ended(&mut self, now: Micros, order: &Order, outcome: Outcome) {
-        let given = self.given.entry((order.zone.clone(), order.kind)).or_default();
+        let last = self.orders.entry((order.zone.clone(), order.kind)).or_default();
         match outcome {
             Outcome::Taken => {
-                given.count = Some(order.count);
-                given.at = now;
-                given.pause = 0;
+                last.count = Some(order.count);
+                last.at = now;
+                last.pause = 0;
             }
-            Outcome::Dry | Outcome::Unknown => {
-                given.pause = (given.pause * 2).clamp(DRY_FIRST, DRY_MOST);
-                given.paused = now + given.pause;
+            Outcome::Unavailable | Outcome::Unknown => {
+                last.pause = (last.pause * 2).clamp(MIN_ORDER_PAUSE, MAX_ORDER_PAUSE);
+                last.paused_until = now + last.pause;
             }
         }
     }
 
-    /// The servers that each zone is to have.
-    fn wanted(&mut self, now: Micros, bounds: &Bounds, zones: &Zones, slots: u32) -> Zones {
+    /// The target number of servers of each zone.
+    fn targets(&mut self, now: Micros, bounds: &Bounds, zones: &Zones, slots: u32) -> Zones {
         let layout = Layout::new(bounds, zones.len() as u32);
-        let each = self.level(now, bounds, layout, slots);
-        let (base, plain) = (layout.base(each, bounds), layout.plain(each));
-        let there: u32 = zones.values().map(|count| count.all()).sum();
-        let extra = self.missing(there, layout.zones, slots);
-        let zone = |(zone, there): (&String, &Count)| {
-            // Ordinary ones go when spot ones are there in their place, and come while those cannot be had.
-            let gap = plain.saturating_sub(there.spot);
-            let more = if self.is_dry(now, zone) { extra } else { 0 };
-            let ordinary = gap.min(there.ordinary + more).max(base);
-            // The bound holds for both kinds together, also between two orders.
-            let room = |kind| bounds.most.saturating_sub(self.ordered(zone, kind, *there));
+        let each = self.update_target(now, bounds, layout, slots);
+        let (base, needed) = (layout.min_ordinary(each, bounds), layout.without_spare(each));
+        let present: u32 = zones.values().map(|count| count.all()).sum();
+        let extra = self.missing_per_zone(present, layout.zones, slots);
+        let zone = |(zone, present): (&String, &Count)| {
+            // Ordinary servers are scaled down once spot servers replace them, and up while spot servers are
+            // unavailable.
+            let gap = needed.saturating_sub(present.spot);
+            let added = if self.is_spot_unavailable(now, zone) { extra } else { 0 };
+            let ordinary = gap.min(present.ordinary + added).max(base);
+            // The maximum holds for both kinds together, also between two orders.
+            let room = |kind| {
+                bounds.max_servers.saturating_sub(self.ordered_or_present(zone, kind, *present))
+            };
             let spot = (each - base).min(room(Kind::Ordinary));
             let ordinary = ordinary.min(room(Kind::Spot));
             (zone.clone(), Count { ordinary, spot })
@@ -307,62 +311,65 @@
         zones.iter().map(zone).collect()
     }
 
-    /// Servers that each of so many zones lacks for what runs and waits at this moment.
-    fn missing(&self, there: u32, zones: u32, slots: u32) -> u32 {
-        let busy: u32 = self.busy.values().map(|(_, requests)| requests).sum();
-        busy.div_ceil(slots).saturating_sub(there).div_ceil(zones)
+    /// The number of servers that each zone lacks for the present load.
+    fn missing_per_zone(&self, present: u32, zones: u32, slots: u32) -> u32 {
+        let busy: u32 = self.loads.values().map(|(_, requests)| requests).sum();
+        busy.div_ceil(slots).saturating_sub(present).div_ceil(zones)
     }
 
-    /// Servers of both kinds that each zone is to have: more at once, fewer after a while.
-    fn level(&mut self, now: Micros, bounds: &Bounds, layout: Layout, slots: u32) -> u32 {
-        let each = |servers| layout.each(servers, bounds);
-        // Until something else is known, what the operators set up is what they expect to need, and what another
-        // holder ordered stays.
-        let level = self.level.unwrap_or_else(|| match self.ordered_before {
-            true => self.first.div_ceil(layout.zones).clamp(bounds.least, bounds.most),
-            false => each(f64::from(self.first)),
+    /// Updates the target number of servers of both kinds in each zone: it grows at once and shrinks after a delay.
+    fn update_target(&mut self, now: Micros, bounds: &Bounds, layout: Layout, slots: u32) -> u32 {
+        let each = |servers| layout.per_zone(servers, bounds);
+        // Without any load data, the servers that the operators set up are taken as what they expect to need, and the
+        // servers that a previous lease holder ordered are kept.
+        let target = self.target.unwrap_or_else(|| match self.had_spot {
+            true => {
+                self.initial.div_ceil(layout.zones).clamp(bounds.min_servers, bounds.max_servers)
+            }
+            false => each(f64::from(self.initial)),
         });
-        let servers = self.places(now, bounds).map(|places| places / f64::from(slots));
-        let due = servers.map_or(level, each);
-        let part = f64::from(due) / f64::from(level.max(1));
-        let more = part >= 1.0 + GROWTH || (due > level && due == bounds.most);
-        if part >= 1.0 - SLACK {
-            self.fewer = None;
+        let servers = self.wanted_slots(now, bounds).map(|wanted| wanted / f64::from(slots));
+        let due = servers.map_or(target, each);
+        let ratio = f64::from(due) / f64::from(target.max(1));
+        let grow = ratio >= 1.0 + MIN_GROWTH || (due > target && due == bounds.max_servers);
+        if ratio >= 1.0 - MIN_SHRINK {
+            self.shrink_since = None;
         }
-        let fewer = part < 1.0 - SLACK && now >= *self.fewer.get_or_insert(now) + PATIENCE;
-        let level = if more || fewer { due } else { level };
-        self.level = Some(level);
-        level
+        let shrink =
+            ratio < 1.0 - MIN_SHRINK && now >= *self.shrink_since.get_or_insert(now) + SHRINK_DELAY;
+        let target = if grow || shrink { due } else { target };
+        self.target = Some(target);
+        target
     }
 
-    /// Servers of a kind that a zone has or will have.
-    fn ordered(&self, zone: &str, kind: Kind, there: Count) -> u32 {
-        let given = self.given.get(&(zone.to_string(), kind));
-        given.and_then(|given| given.count).unwrap_or(0).max(there.of(kind))
+    /// The number of servers of a kind that a zone has or has ordered.
+    fn ordered_or_present(&self, zone: &str, kind: Kind, present: Count) -> u32 {
+        let last = self.orders.get(&(zone.to_string(), kind));
+        last.and_then(|last| last.count).unwrap_or(0).max(present.of(kind))
     }
 
-    /// Whether no spot servers were to be had in a zone just now.
-    fn is_dry(&self, now: Micros, zone: &str) -> bool {
-        let given = self.given.get(&(zone.to_string(), Kind::Spot));
-        given.is_some_and(|given| now < given.paused + DRY_MOST && given.pause > 0)
+    /// Whether an order for spot servers in a zone failed recently.
+    fn is_spot_unavailable(&self, now: Micros, zone: &str) -> bool {
+        let last = self.orders.get(&(zone.to_string(), Kind::Spot));
+        last.is_some_and(|last| now < last.paused_until + MAX_ORDER_PAUSE && last.pause > 0)
     }
 
-    /// Whether an order is to be given.
+    /// Whether an order for `wanted` servers is due.
     fn is_due(
         &self,
         now: Micros,
         bounds: &Bounds,
         (zone, kind): (&String, Kind),
         wanted: u32,
-        there: u32,
+        present: u32,
     ) -> bool {
-        let given = self.given.get(&(zone.clone(), kind)).copied().unwrap_or_default();
-        if now < given.paused {
+        let last = self.orders.get(&(zone.clone(), kind)).copied().unwrap_or_default();
+        if now < last.paused_until {
             return false;
         }
-        let unmet = there < wanted && now >= given.at + bounds.boot + UNMET;
-        match given.count {
-            None => wanted != there,
+        let unmet = present < wanted && now >= last.at + bounds.startup + UNMET_ORDER_TIMEOUT;
+        match last.count {
+            None => wanted != present,
             Some(count) => wanted != count || unmet,
         }
     }
--- a/crates/drumusher-duty/src/time.rs
+++ b/crates/drumusher-duty/src/time.rs
@@ -1,6 +1,6 @@
 //! Units of time.
 
-/// Microseconds on the process's steady clock.
+/// Microseconds on the process's monotonic clock.
 pub type Micros = u64;
 /// A millisecond.
 pub const MILLISECOND: Micros = 1_000;
--- a/crates/drumusher-duty/src/usage.rs
+++ b/crates/drumusher-duty/src/usage.rs
@@ -1,101 +1,101 @@
-//! What each workspace used, by windows of true time, and which window is to be reported next.
+//! Usage of each workspace by windows of wall-clock time, and the window that is to be reported next.
 //!
-//! Whoever dispatches counts the requests that began to run ([`Tally`]), and tells the count of each window as a
-//! whole, so that a count told twice, late or out of order counts once ([`Told`]). Who has the duty adds them up
-//! ([`Book`]). The report of a window is fixed in the register before it is sent ([`Progress`]): another holder
-//! sends just that.
+//! Each dispatcher counts the requests that started to run ([`Tally`]) and publishes the complete counts of each
+//! window ([`Update`]), so that an update that is read twice, late or out of order counts once. The lease holder adds
+//! the counts up ([`Aggregate`]). The report of a window is written to the register before it is sent ([`Progress`]),
+//! so that another holder sends the same report.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a window: window k starts k times its length after the start of 1970.
+/// The number of a window: window k starts k window lengths after 1 January 1970.
 pub type Window = u64;
-/// Requests that began to run, by workspace.
+/// The number of requests that started to run, by workspace.
 pub type Counts = BTreeMap<String, u64>;
 
-/// Windows that a process remembers of its own counts: more than a report is waited for.
+/// Number of windows for which a process keeps its own counts: more than pass until a report is due.
 const OWN_WINDOWS: usize = 8;
-/// Windows of which a holder remembers the counts.
-const WINDOWS: u64 = 64;
-/// A holder that is further behind than this, in windows, goes on with the oldest that has counts: what is
-/// missing is not known any more.
-const BEHIND: u64 = 12;
+/// Number of windows for which a lease holder keeps the counts.
+const KEPT_WINDOWS: u64 = 64;
+/// A holder that lags by more windows than this continues with the oldest window that has counts: the counts of the
+/// missing ones are no longer known.
+const MAX_LAG: u64 = 12;
 
 /// The report of a window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The window.
     pub window: Window,
-    /// What each workspace used.
+    /// Requests by workspace.
     pub counts: Counts,
 }
 
-/// How far the usage is reported.
+/// Progress of the usage reports, as it is stored in the register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// A report that is fixed and may have been sent; its content never changes.
+    /// The current report, which may have been sent; its content never changes.
     pub fixed: Option<Report>,
-    /// The latest window whose report the platform took.
+    /// The latest window whose report the platform accepted.
     pub reported: Option<Window>,
-    /// Whether reports may have been sent of which nothing is known any more.
+    /// Whether reports may have been sent that are no longer known.
     #[serde(default)]
     pub lost: bool,
 }
 
 impl Progress {
-    /// The platform took the fixed report.
-    pub fn taken(&self) -> Progress {
+    /// The progress after the platform accepted the fixed report.
+    pub fn accepted(&self) -> Progress {
         let reported = self.fixed.as_ref().map(|report| report.window).or(self.reported);
         Progress { fixed: None, reported, lost: self.lost }
     }
 
-    /// A report is fixed.
-    pub fn with(&self, report: Report) -> Progress {
+    /// The progress with a report fixed.
+    pub fn with_fixed(&self, report: Report) -> Progress {
         Progress { fixed: Some(report), reported: self.reported, lost: self.lost }
     }
 
-    /// Later progress may be lost.
+    /// The progress after the store was restored from a backup, which may have lost later progress.
     pub fn after_loss(&self) -> Progress {
         Progress { fixed: None, reported: self.reported, lost: true }
     }
 
-    /// Windows up to this one are left as they are, since another report of them may have been sent.
+    /// The progress that skips the windows up to this one, since another report of them may have been sent.
     pub fn resume_after(&self, window: Window) -> Progress {
         Progress { fixed: None, reported: self.reported.max(Some(window)), lost: false }
     }
 }
 
-/// What one process tells: whole counts of its latest windows, and how busy the services are that it dispatches.
+/// What one process publishes: the complete counts of its latest windows, and the load of the services it dispatches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Update {
     /// The instance.
     pub writer: String,
     /// Drawn at each start of its process.
     pub boot: u64,
-    /// Counts by window.
+    /// Complete counts by window.
     pub windows: BTreeMap<Window, Counts>,
-    /// The most requests that ran or waited at once since it told before, by service.
+    /// The maximum number of requests that ran or waited since the previous update, by service.
     pub busy: BTreeMap<String, u32>,
 }
 
-/// What one process counted.
+/// The counts of one process.
 #[derive(Debug, Default)]
 pub struct Tally {
     windows: BTreeMap<Window, Counts>,
-    /// Windows that changed since they were told.
+    /// Windows that changed since they were last published.
     changed: Vec<Window>,
     busy: BTreeMap<String, u32>,
 }
 
 impl Tally {
-    /// Nothing was counted yet.
+    /// Creates empty counts.
     pub fn new() -> Self {
         Tally::default()
     }
 
-    /// A request of a workspace began to run.
-    pub fn began(&mut self, window: Window, workspace: &str) {
+    /// Counts a request of a workspace that started to run.
+    pub fn count_started(&mut self, window: Window, workspace: &str) {
         let counts = self.windows.entry(window).or_default();
         match counts.get_mut(workspace) {
             Some(count) => *count += 1,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// So many requests of a service run or wait.
-    pub fn busy(&mut self, service: &str, requests: u32) {
+    /// Records the number of requests of a service that run or wait.
+    pub fn record_load(&mut self, service: &str, requests: u32) {
         match self.busy.get_mut(service) {
             Some(most) => *most = requests.max(*most),
             None => {
@@ -121,8 +121,8 @@
         }
     }
 
-    /// What is to be told now; `None` if nothing is new.
-    pub fn tell(&mut self, writer: &str, boot: u64) -> Option<Told> {
+    /// Takes the update to be published now; `None` if nothing changed.
+    pub fn take_update(&mut self, writer: &str, boot: u64) -> Option<Update> {
         let changed = std::mem::take(&mut self.changed);
         let busy = std::mem::take(&mut self.busy);
         if changed.is_empty() && busy.is_empty() {
@@ -133,90 +133,91 @@
             Some((window, counts.clone()))
         });
         let windows = windows.collect();
-        Some(Told { writer: writer.into(), boot, windows, busy })
+        Some(Update { writer: writer.into(), boot, windows, busy })
     }
 
-    /// All that is remembered is told again: what was told may be lost.
-    pub fn tell_again(&mut self) {
+    /// Marks all windows to be published again, since the store may have lost earlier updates.
+    pub fn republish_all(&mut self) {
         self.changed = self.windows.keys().copied().collect();
     }
 
-    /// What was to be told did not arrive for sure: it is told again.
-    pub fn untold(&mut self, told: &Told) {
-        let kept = told.windows.keys().filter(|window| self.windows.contains_key(window));
+    /// Marks the windows of an update to be published again, since it may not have arrived.
+    pub fn mark_unpublished(&mut self, update: &Update) {
+        let kept = update.windows.keys().filter(|window| self.windows.contains_key(window));
         let missing: Vec<Window> = kept.filter(|w| !self.changed.contains(w)).copied().collect();
         self.changed.extend(missing);
     }
 }
 
-/// When a window is reported.
+/// When windows are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// The length of a window, in milliseconds.
     pub window_ms: u64,
-    /// How long after its end a report is due, in milliseconds.
+    /// Time after the end of a window within which its report is due, in milliseconds.
     pub due_ms: u64,
-    /// Within which those who were cut off from telling have told again, in milliseconds.
+    /// Time within which processes that could not reach the store have published again, in milliseconds.
     pub settle_ms: u64,
 }
 
-/// A window is reported when this part of the time within which it is due is over: what some could not tell for
-/// seconds still comes in, and there is time left to send the report again.
+/// Fraction of the due time after which a window is reported: updates that were delayed for seconds still arrive, and
+/// there is time left to retry the report.
 const REPORT_AT: f64 = 0.5;
-/// It is reported without waiting for those who may still tell when this part is over.
-const LAST_AT: f64 = 0.8;
+/// Fraction of the due time after which it is reported without waiting for delayed updates.
+const DEADLINE_AT: f64 = 0.8;
 
-/// How far what others told was read, in Unix milliseconds.
+/// The span over which the published updates were read, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Read {
-    /// Since when it is read without a failure.
+pub struct ReadSpan {
+    /// Since when they are read without a failure.
     pub since_ms: u64,
-    /// When it was read last.
+    /// When they were last read.
     pub until_ms: u64,
 }
 
 impl Options {
-    /// The window of a moment in Unix milliseconds.
+    /// The window that a time in Unix milliseconds falls into.
     pub fn window(&self, unix_ms: u64) -> Window {
         unix_ms / self.window_ms.max(1)
     }
 
-    /// The latest window of which a report may have been sent by now. True time may be later by a window elsewhere.
+    /// The latest window of which a report may have been sent by now, where the clocks of other instances may be
+    /// ahead by up to one window.
     pub fn latest_sent(&self, unix_ms: u64) -> Window {
         let due = (self.due_ms as f64 * REPORT_AT) as u64;
         self.window(unix_ms.saturating_sub(due))
     }
 
-    /// Whether a window is to be reported by now. After a failure of the store, those who could not tell what they
-    /// counted get the time to do so, unless the report would be late for it that is not late yet.
-    fn is_due(&self, window: Window, read: Read) -> bool {
+    /// Whether a window is due to be reported. After a failure of the store, processes get time to publish the counts
+    /// that they could not publish before, unless waiting would make a report late that is still in time.
+    fn is_due(&self, window: Window, read: ReadSpan) -> bool {
         let end = (window + 1) * self.window_ms;
         let part = |part: f64| end + (self.due_ms as f64 * part) as u64;
         let settled = read.until_ms >= read.since_ms + self.settle_ms;
-        let last = read.since_ms < part(LAST_AT) && read.until_ms >= part(LAST_AT);
+        let last = read.since_ms < part(DEADLINE_AT) && read.until_ms >= part(DEADLINE_AT);
         read.until_ms >= part(REPORT_AT) && (settled || last)
     }
 }
 
-/// What all processes told.
+/// The counts that all processes published.
 #[derive(Debug, Default)]
-pub struct Book {
-    /// Counts by window and process. Those of a process that told again replace what it told before.
+pub struct Aggregate {
+    /// Counts by window and process. Later counts of a process replace earlier ones.
     windows: BTreeMap<Window, BTreeMap<(String, u64), Counts>>,
 }
 
-impl Book {
-    /// Nobody told anything yet.
+impl Aggregate {
+    /// Creates an empty aggregate.
     pub fn new() -> Self {
-        Book::default()
+        Aggregate::default()
     }
 
-    /// A process told.
-    pub fn take(&mut self, told: &Told) {
-        for (window, counts) in &told.windows {
+    /// Adds the update of a process.
+    pub fn add(&mut self, update: &Update) {
+        for (window, counts) in &update.windows {
             let by_process = self.windows.entry(*window).or_default();
-            let kept = by_process.entry((told.writer.clone(), told.boot)).or_default();
-            // Counts only rise, so that one that comes late says nothing new.
+            let kept = by_process.entry((update.writer.clone(), update.boot)).or_default();
+            // Counts only grow, so an update that arrives late is ignored.
             for (workspace, count) in counts {
                 let kept = kept.entry(workspace.clone()).or_default();
                 *kept = (*kept).max(*count);
@@ -224,14 +225,14 @@
         }
         while let Some((first, _)) = self.windows.first_key_value() {
             let last = self.windows.last_key_value().map_or(0, |(last, _)| *last);
-            if last - first < WINDOWS {
+            if last - first < KEPT_WINDOWS {
                 break;
             }
             self.windows.pop_first();
         }
     }
 
-    /// What each workspace used in a window.
+    /// The total counts of a window, by workspace.
     pub fn counts(&self, window: Window) -> Counts {
         let mut sum = Counts::new();
         for counts in self.windows.get(&window).into_iter().flat_map(BTreeMap::values) {
@@ -242,18 +243,18 @@
         sum
     }
 
-    /// The window that is to be reported next, if its time has come.
-    pub fn due(&self, progress: &Progress, options: &Options, read: Read) -> Option<Window> {
+    /// The window that is to be reported next, if it is due.
+    pub fn due(&self, progress: &Progress, options: &Options, read: ReadSpan) -> Option<Window> {
         let first = *self.windows.first_key_value()?.0;
         let next = match progress.reported {
             None => first,
-            Some(reported) if reported + 1 + BEHIND < first => first,
+            Some(reported) if reported + 1 + MAX_LAG < first => first,
             Some(reported) => reported + 1,
         };
         options.is_due(next, read).then_some(next)
     }
 
-    /// Its report.
+    /// The report of a window.
     pub fn report(&self, window: Window) -> Report {
         Report { window, counts: self.counts(window) }
     }
--- a/crates/drumusher-duty/tests/duty/main.rs
+++ b/crates/drumusher-duty/tests/duty/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the duties.
+//! Tests of the lease, the usage counts and the autoscaler.
 
-mod holding;
 mod lease;
+mod schedules;
 mod sizing;
 mod usage;
--- a/crates/drumusher-duty/tests/duty/usage.rs
+++ b/crates/drumusher-duty/tests/duty/usage.rs
@@ -1,6 +1,6 @@
-//! Counting what each workspace used, and reporting it.
+//! Usage counts of workspaces, and their reports.
 
-use drumusher_duty::usage::{Book, Counts, Options, Progress, Read, Tally};
+use drumusher_duty::usage::{Aggregate, Counts, Options, Progress, ReadSpan, Tally};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -11,136 +11,138 @@
 }
 
 #[test]
-fn what_two_processes_counted_is_added_up() {
-    let (mut one, mut two, mut book) = (Tally::new(), Tally::new(), Book::new());
+fn counts_of_two_processes_are_added_up() {
+    let (mut one, mut two, mut aggregate) = (Tally::new(), Tally::new(), Aggregate::new());
     for workspace in ["a", "a", "b"] {
-        one.began(7, workspace);
+        one.count_started(7, workspace);
     }
-    two.began(7, "a");
-    let first = one.tell("i1", 1).expect("there is news");
-    assert_eq!(one.tell("i1", 1), None, "nothing is new");
-    book.take(&first);
-    book.take(&two.tell("i2", 1).expect("there is news"));
-    assert_eq!(book.counts(7), counts(&[("a", 3), ("b", 1)]));
-    one.began(7, "b");
-    book.take(&one.tell("i1", 1).expect("there is news"));
-    book.take(&first);
-    assert_eq!(book.counts(7), counts(&[("a", 3), ("b", 2)]), "what comes late says nothing new");
+    two.count_started(7, "a");
+    let first = one.take_update("i1", 1).expect("counts changed");
+    assert_eq!(one.take_update("i1", 1), None, "nothing changed");
+    aggregate.add(&first);
+    aggregate.add(&two.take_update("i2", 1).expect("counts changed"));
+    assert_eq!(aggregate.counts(7), counts(&[("a", 3), ("b", 1)]));
+    one.count_started(7, "b");
+    aggregate.add(&one.take_update("i1", 1).expect("counts changed"));
+    aggregate.add(&first);
+    assert_eq!(aggregate.counts(7), counts(&[("a", 3), ("b", 2)]), "a late update is ignored");
 }
 
-/// Counts whose arrival is not known are told again, and count once.
+/// Counts that may not have arrived are published again, and count once.
 #[test]
-fn what_may_not_have_arrived_is_told_again() {
-    let (mut tally, mut book) = (Tally::new(), Book::new());
-    tally.began(7, "a");
-    let told = tally.tell("i1", 1).expect("there is news");
-    book.take(&told);
-    tally.untold(&told);
-    let again = tally.tell("i1", 1).expect("it is told again");
-    book.take(&again);
-    assert_eq!(book.counts(7), counts(&[("a", 1)]));
+fn counts_that_may_not_have_arrived_are_published_again() {
+    let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
+    tally.count_started(7, "a");
+    let told = tally.take_update("i1", 1).expect("counts changed");
+    aggregate.add(&told);
+    tally.mark_unpublished(&told);
+    let again = tally.take_update("i1", 1).expect("it is published again");
+    aggregate.add(&again);
+    assert_eq!(aggregate.counts(7), counts(&[("a", 1)]));
 }
 
 #[rstest]
-#[case::before_its_time(None, 44_999, None)]
-#[case::the_first_that_has_counts(None, 45_000, Some(7))]
-#[case::the_next_one_though_empty(Some(7), 50_000, Some(8))]
-#[case::the_next_one_before_its_time(Some(8), 54_999, None)]
-#[case::after_counts_that_are_forgotten(Some(1), 45_000, Some(2))]
+#[case::not_yet_due(None, 44_999, None)]
+#[case::the_first_window_with_counts(None, 45_000, Some(7))]
+#[case::the_next_window_though_empty(Some(7), 50_000, Some(8))]
+#[case::the_next_window_not_yet_due(Some(8), 54_999, None)]
+#[case::a_small_lag_skips_no_window(Some(1), 45_000, Some(2))]
 fn windows_are_due_in_order(
     #[case] reported: Option<u64>,
     #[case] unix_ms: u64,
     #[case] due: Option<u64>,
 ) {
-    let (mut tally, mut book) = (Tally::new(), Book::new());
-    tally.began(7, "a");
-    book.take(&tally.tell("i1", 1).expect("there is news"));
+    let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
+    tally.count_started(7, "a");
+    aggregate.add(&tally.take_update("i1", 1).expect("counts changed"));
     let progress = Progress { reported, ..Progress::default() };
-    let read = Read { since_ms: 0, until_ms: unix_ms };
-    assert_eq!(book.due(&progress, &OPTIONS, read), due);
+    let read = ReadSpan { since_ms: 0, until_ms: unix_ms };
+    assert_eq!(aggregate.due(&progress, &OPTIONS, read), due);
 }
 
-/// The store was away, and two who dispatch could not tell what they counted. At its return the report was fixed
-/// before they had told again: 6 of 8 requests were reported.
+/// Guards against a report that is fixed before the dispatchers have published again after an outage of the store: two
+/// dispatchers could not publish their counts, and 6 of 8 requests were reported.
 #[rstest]
-#[case::they_may_still_tell(46_000, 46_500, false)]
-#[case::they_have_told(44_000, 46_000, true)]
-#[case::later_would_be_late(47_500, 48_000, true)]
-#[case::it_is_late_already(48_500, 49_000, false)]
-#[case::late_but_whole(48_500, 50_500, true)]
-fn those_who_were_cut_off_get_the_time_to_tell(
+#[case::updates_may_still_arrive(46_000, 46_500, false)]
+#[case::updates_have_arrived(44_000, 46_000, true)]
+#[case::waiting_would_be_late(47_500, 48_000, true)]
+#[case::late_already(48_500, 49_000, false)]
+#[case::late_but_complete(48_500, 50_500, true)]
+fn dispatchers_get_time_to_publish_after_an_outage(
     #[case] since_ms: u64,
     #[case] until_ms: u64,
     #[case] due: bool,
 ) {
-    let (mut tally, mut book) = (Tally::new(), Book::new());
-    tally.began(7, "a");
-    book.take(&tally.tell("i1", 1).expect("there is news"));
+    let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
+    tally.count_started(7, "a");
+    aggregate.add(&tally.take_update("i1", 1).expect("counts changed"));
     let progress = Progress { reported: Some(6), ..Progress::default() };
-    let read = Read { since_ms, until_ms };
-    assert_eq!(book.due(&progress, &OPTIONS, read).is_some(), due);
+    let read = ReadSpan { since_ms, until_ms };
+    assert_eq!(aggregate.due(&progress, &OPTIONS, read).is_some(), due);
 }
 
 #[test]
-fn a_report_is_fixed_until_it_is_taken() {
-    let (mut tally, mut book) = (Tally::new(), Book::new());
-    tally.began(7, "a");
-    book.take(&tally.tell("i1", 1).expect("there is news"));
-    let fixed = Progress::default().with(book.report(7));
-    tally.began(7, "a");
-    book.take(&tally.tell("i1", 1).expect("there is news"));
+fn a_report_is_fixed_until_it_is_accepted() {
+    let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
+    tally.count_started(7, "a");
+    aggregate.add(&tally.take_update("i1", 1).expect("counts changed"));
+    let fixed = Progress::default().with_fixed(aggregate.report(7));
+    tally.count_started(7, "a");
+    aggregate.add(&tally.take_update("i1", 1).expect("counts changed"));
     assert_eq!(fixed.fixed.as_ref().map(|report| &report.counts), Some(&counts(&[("a", 1)])));
-    assert_eq!(fixed.taken(), Progress { reported: Some(7), ..Progress::default() });
+    assert_eq!(fixed.accepted(), Progress { reported: Some(7), ..Progress::default() });
 }
 
 proptest! {
-    /// However often and in whatever order it is told, each request counts once, as long as what was told last
-    /// arrives.
+    /// Each request counts once, however often and in whatever order updates arrive, as long as the last one arrives.
     #[test]
     fn each_request_counts_once(
         requests in proptest::collection::vec((0_u64..4, 0_usize..3, any::<bool>()), 1..120)
     ) {
         let names = ["a", "b", "c"];
-        let (mut tally, mut book) = (Tally::new(), Book::new());
+        let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
         let mut told = Vec::new();
         let mut sums = [(); 4].map(|()| Counts::new());
         for (window, workspace, tell) in requests {
-            tally.began(window, names[workspace]);
+            tally.count_started(window, names[workspace]);
             *sums[window as usize].entry(names[workspace].into()).or_default() += 1;
-            if tell && let Some(news) = tally.tell("i1", 1) {
-                // Every other one is lost on the way, and told again.
-                if told.len() % 2 == 0 { book.take(&news) } else { tally.untold(&news) }
+            if tell && let Some(news) = tally.take_update("i1", 1) {
+                // Every other update is lost, and published again.
+                if told.len() % 2 == 0 { aggregate.add(&news) } else { tally.mark_unpublished(&news) }
                 told.push(news);
             }
         }
-        if let Some(last) = tally.tell("i1", 1) {
+        if let Some(last) = tally.take_update("i1", 1) {
             told.push(last);
         }
-        told.iter().rev().for_each(|news| book.take(news));
+        told.iter().rev().for_each(|news| aggregate.add(news));
         for (window, sum) in sums.iter().enumerate() {
-            prop_assert_eq!(&book.counts(window as u64), sum);
+            prop_assert_eq!(&aggregate.counts(window as u64), sum);
         }
     }
 }
 
-/// What was told may be lost with the store's latest records: all that is remembered is told again, and counts once.
+/// A restored store may have lost updates. All kept windows are published again, and count once.
 #[test]
-fn what_was_told_is_told_again() {
-    let (mut tally, mut book) = (Tally::new(), Book::new());
-    tally.began(7, "a");
-    book.take(&tally.tell("i1", 1).expect("there is news"));
-    tally.began(8, "a");
-    book.take(&tally.tell("i1", 1).expect("there is news"));
-    tally.tell_again();
-    let again = tally.tell("i1", 1).expect("it is told again");
+fn all_windows_are_published_again() {
+    let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
+    tally.count_started(7, "a");
+    aggregate.add(&tally.take_update("i1", 1).expect("counts changed"));
+    tally.count_started(8, "a");
+    aggregate.add(&tally.take_update("i1", 1).expect("counts changed"));
+    tally.republish_all();
+    let again = tally.take_update("i1", 1).expect("it is published again");
     assert_eq!(again.windows.keys().copied().collect::<Vec<u64>>(), [7, 8]);
-    book.take(&again);
-    assert_eq!((book.counts(7), book.counts(8)), (counts(&[("a", 1)]), counts(&[("a", 1)])));
+    aggregate.add(&again);
+    assert_eq!(
+        (aggregate.counts(7), aggregate.counts(8)),
+        (counts(&[("a", 1)]), counts(&[("a", 1)]))
+    );
 }
 
-/// A holder that knows nothing of the last reports leaves out each window of which another may have sent one.
+/// A holder that does not know the latest reports skips each window that another holder may have reported.
 #[test]
-fn windows_that_may_have_been_reported_are_left_out() {
+fn windows_that_may_have_been_reported_are_skipped() {
     let progress = Progress { reported: Some(5), ..Progress::default() }.after_loss();
     let latest = OPTIONS.latest_sent(46_000);
     assert!(latest >= 7, "window 7 ends at 40 s and may be reported from 45 s on");
--- a/crates/drumusher/src/process/dispatch/usage.rs
+++ b/crates/drumusher/src/process/dispatch/usage.rs
@@ -74,7 +74,7 @@
         };
         let age_ms = clock::now().saturating_sub(at) / MILLISECOND;
         let window = clock::steady_unix_ms().saturating_sub(age_ms) / duties.window_ms;
-        self.shared.tally().began(window, &workspace.name);
+        self.shared.tally().count_started(window, &workspace.name);
     }
 
     /// Records how many requests of each service run or wait here, if autoscaling is enabled.
@@ -87,7 +87,7 @@
             if let Pool::Service(service) = pool
                 && busy > 0
             {
-                self.shared.tally().busy(service, busy);
+                self.shared.tally().record_load(service, busy);
             }
         }
     }
--- a/crates/drumusher/src/process/duties.rs
+++ b/crates/drumusher/src/process/duties.rs
@@ -1,17 +1,17 @@
-//! Duties that one instance at a time has towards the platform.
+//! Duties towards the platform that one instance performs at a time: usage reports and autoscaling.
 //!
-//! | module | what |
+//! | module | contents |
 //! |---|---|
-//! | `tell` | every instance tells what its dispatcher counted |
-//! | `hold` | the lease, and the acts of the instance that has it |
-//! | `order` | ordering backend servers |
+//! | `publish` | every instance publishes the counts of its dispatcher |
+//! | `runner` | the lease, and the calls of the instance that holds it |
+//! | `autoscale` | orders of backend servers |
 //!
-//! What is decided stands in `drumusher-duty`. The instances that read the store for others stand by; there are
-//! few of them, and one is always there. Without duties in the settings nothing of this runs.
+//! The decisions are made in `drumusher-duty`. The instances that read the store for others are the standbys: they are
+//! few, and there is always one. Without duties in the settings none of this runs.
 
-mod hold;
-mod order;
-mod tell;
+mod autoscale;
+mod publish;
+mod runner;
 
 use std::{rc::Rc, sync::Arc};
 
@@ -22,34 +22,35 @@
 use super::Shared;
 use crate::settings;
 
-/// Runs the duties on the current thread, if there are any.
+/// Starts the duties on the current thread, if the settings have any.
 pub(super) fn start<S: duty::Duties + 'static>(shared: &Arc<Shared>, platform: Rc<S>) {
     let Some(settings) = shared.settings.duties.clone() else {
         return;
     };
-    // Drawn at each start, so that two processes of one instance are told apart.
+    // A random number that identifies this process among all processes of the same instance.
     let boot = rand::random();
-    rt::spawn(tell::run(shared.clone(), platform.clone(), settings.clone(), boot));
-    rt::spawn(hold::run(shared.clone(), platform, settings, boot));
+    rt::spawn(publish::run(shared.clone(), platform.clone(), settings.clone(), boot));
+    rt::spawn(runner::run(shared.clone(), platform, settings, boot));
 }
 
-/// An instance that dispatches for others tells what it counted so often. What it counted since is lost with it: at
-/// most a twentieth of a window of five seconds, which is as much as a report may be off. With a second between them
-/// the loss of the busiest dispatcher made a window miss 555 of 4,422 requests.
-const TELL_MS: u64 = 250;
-/// One that decided for itself for a moment counted little, and there are many such: it tells in this part of the
-/// time within which a report is due.
-const TELL_PART: u64 = 4;
-/// Longest time of a call that fails, in milliseconds.
+/// Interval at which an instance that dispatches for others publishes its counts, in milliseconds. Counts since the
+/// last update are lost if the instance ends: at most a twentieth of a window of five seconds, which is the permitted
+/// error of a report. With an interval of one second, a window missed 555 of 4,422 requests when the busiest
+/// dispatcher ended.
+const PUBLISH_MS: u64 = 250;
+/// Other instances publish at the interval within which a report is due divided by this: there are many of them, and
+/// each counted little, while it briefly dispatched for itself.
+const PUBLISH_DIVISOR: u64 = 4;
+/// Longest duration of a failing call, in milliseconds.
 const CALL_MS: u64 = 700;
 
-/// Time between two trials to tell, in milliseconds.
-fn tell_ms(settings: &settings::Duties, dispatches: bool) -> u64 {
-    if dispatches { TELL_MS } else { settings.due_ms / TELL_PART }
+/// Interval between two updates, in milliseconds.
+fn publish_ms(settings: &settings::Duties, dispatches: bool) -> u64 {
+    if dispatches { PUBLISH_MS } else { settings.due_ms / PUBLISH_DIVISOR }
 }
 
-/// When windows of usage are reported.
-fn windows(settings: &settings::Duties) -> usage::Options {
+/// When windows of usage are reported, by the settings.
+fn usage_options(settings: &settings::Duties) -> usage::Options {
     let settings::Duties { window_ms, due_ms, .. } = *settings;
-    usage::Options { window_ms, due_ms, settle_ms: tell_ms(settings, false) + CALL_MS }
+    usage::Options { window_ms, due_ms, settle_ms: publish_ms(settings, false) + CALL_MS }
 }
--- a/crates/drumusher/src/process/duties/order.rs
+++ b/crates/drumusher/src/process/duties/autoscale.rs
@@ -1,10 +1,10 @@
-//! Ordering backend servers: what is there, by the directory, and what is asked for, by what dispatchers told.
+//! Autoscaling of backend servers, by the servers in the directory and the load that dispatchers published.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use drumusher_duty::{
     sizing::{Bounds, Kind, Order, Outcome, Sizer, Zones},
-    usage::Told,
+    usage::Update,
 };
 use drumusher_platform::routing::{Scaling, Service};
 use drumusher_schedule::time::{MILLISECOND, Micros};
@@ -14,26 +14,26 @@
     version::{Directory, Pool},
 };
 
-/// The services whose backend servers can be ordered.
+/// The autoscalers of the services.
 #[derive(Debug, Default)]
-pub(super) struct Orders {
+pub(super) struct Autoscaler {
     sizers: BTreeMap<String, Sizer>,
 }
 
-impl Orders {
+impl Autoscaler {
     pub(super) fn new() -> Self {
-        Orders::default()
+        Autoscaler::default()
     }
 
-    /// A dispatcher told how busy services are.
-    pub(super) fn take(&mut self, now: Micros, told: &Told) {
-        for (service, requests) in &told.busy {
+    /// Records the load of services from a dispatcher's update.
+    pub(super) fn record_load(&mut self, now: Micros, update: &Update) {
+        for (service, requests) in &update.busy {
             let sizer = self.sizers.entry(service.clone()).or_default();
-            sizer.busy(now, &told.writer, *requests);
+            sizer.record_load(now, &update.writer, *requests);
         }
     }
 
-    /// The next order that is due, with its service.
+    /// The next order that is due, with the name of its service.
     pub(super) fn next(&mut self, now: Micros, shared: &Shared) -> Option<(String, Order)> {
         let routing = shared.routing.load_full()?;
         let directory = shared.directory.load_full();
@@ -46,7 +46,7 @@
         })
     }
 
-    /// What became of an order.
+    /// Records the outcome of an order.
     pub(super) fn ended(&mut self, now: Micros, service: &str, order: &Order, outcome: Outcome) {
         if let Some(sizer) = self.sizers.get_mut(service) {
             sizer.ended(now, order, outcome);
@@ -60,15 +60,15 @@
 
 fn bounds(scaling: &Scaling) -> Bounds {
     Bounds {
-        least: scaling.least,
-        most: scaling.most,
-        boot: scaling.boot_ms * MILLISECOND,
+        min_servers: scaling.least,
+        max_servers: scaling.most,
+        startup: scaling.boot_ms * MILLISECOND,
         spot_price: scaling.spot_price,
     }
 }
 
-/// The backend servers of a service that take requests, by availability zone, and the places of one. A zone whose
-/// servers all leave is still one.
+/// The number of backend servers of a service that accept requests, by availability zone, and the slots of a server. A
+/// zone whose servers are all leaving is included.
 fn servers(directory: &Directory, service: &str, area: &str) -> (Zones, u32) {
     let pool = Pool::Service(Arc::from(service));
     let (mut zones, mut slots) = (Zones::new(), 0);
