--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -66,7 +66,7 @@
 }
 
 fn count(bucket: &counts::Bucket) -> peer::Count {
-    peer::Count::new(bucket.age as i32, bucket.requests as i32, bucket.repeats as i32)
+    peer::Count::new(bucket.age as i32, bucket.requests as i32, bucket.retries as i32)
 }
 
 fn part(part: &Part) -> peer::Part {
--- a/crates/drumusher/src/process/counts.rs
+++ b/crates/drumusher/src/process/counts.rs
@@ -22,7 +22,7 @@
     /// Requests, without their retries.
     pub requests: u32,
     /// Retries that were sent.
-    pub repeats: u32,
+    pub retries: u32,
 }
 
 /// The counts of the latest two windows.
@@ -47,7 +47,7 @@
 
     /// Counts retries.
     pub fn repeat(&mut self, now: Micros, count: u32) {
-        self.current_bucket(now).repeats += count;
+        self.current_bucket(now).retries += count;
     }
 
     /// Adds other counts.
@@ -71,7 +71,7 @@
         };
         let known = &mut self.buckets[at].1;
         known.requests = known.requests.saturating_add(bucket.requests);
-        known.repeats = known.repeats.saturating_add(bucket.repeats);
+        known.retries = known.retries.saturating_add(bucket.retries);
     }
 
     /// The buckets that still count, each with its age.
@@ -87,16 +87,16 @@
     pub fn excess(&self, now: Micros, ratio: f64) -> f64 {
         // Prefix sums over the buckets of two windows and the current bucket, oldest first.
         let mut requests = [0.0; 2 * BUCKETS as usize + 2];
-        let mut repeats = requests;
+        let mut retries = requests;
         let last = 2 * BUCKETS as usize;
         for bucket in self.recent(now) {
             let at = last.saturating_sub(bucket.age as usize);
             requests[at + 1] += f64::from(bucket.requests);
-            repeats[at + 1] += f64::from(bucket.repeats);
+            retries[at + 1] += f64::from(bucket.retries);
         }
         for at in 1..requests.len() {
             requests[at] += requests[at - 1];
-            repeats[at] += repeats[at - 1];
+            retries[at] += retries[at - 1];
         }
         // The sum from one bucket to another, both included.
         let sum = |sums: &[f64], from: usize, to: usize| {
@@ -108,7 +108,7 @@
             let half_before = sum(&requests, first + 1 - half, first + half - 1);
             let before = sum(&requests, first + 1 - window, first - 1);
             let share = ratio * own.max(half_before).max(before);
-            sum(&repeats, first, last) - (share - ROUNDING).ceil()
+            sum(&retries, first, last) - (share - ROUNDING).ceil()
         });
         excess.fold(f64::NEG_INFINITY, f64::max)
     }
@@ -116,7 +116,7 @@
     /// Requests and retries of the latest window.
     pub fn latest(&self, now: Micros) -> (u32, u32) {
         let latest = self.recent(now).filter(|bucket| bucket.age <= BUCKETS);
-        latest.fold((0, 0), |sum, bucket| (sum.0 + bucket.requests, sum.1 + bucket.repeats))
+        latest.fold((0, 0), |sum, bucket| (sum.0 + bucket.requests, sum.1 + bucket.retries))
     }
 
     /// The number of the bucket that `now` falls into.
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -55,7 +55,7 @@
     Bucket {
         age: u64::from(number(count.age)),
         requests: number(count.requests),
-        repeats: number(count.repeats),
+        retries: number(count.repeats),
     }
 }
 
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -4,7 +4,7 @@
 
 use drumusher::{
     process::{
-        broker::{Attempt, Input, DispatchRequest, Reply, Report, Send, Table, View},
+        broker::{Attempt, DispatchRequest, Input, Reply, Report, Send, Table, View},
         clock,
         notices::{Answer, KnownLimit, Notices},
     },
@@ -224,7 +224,9 @@
     let (mut table, id, first) = asked_of_another();
     assert!(table.reassign_overdue(&mut Vec::new()).is_empty(), "it has a little time");
     let mut sends = Vec::new();
-    drumusher_bench::fleet::wait_for("it is overdue", || table.reassign_overdue(&mut sends).contains(&first));
+    drumusher_bench::fleet::wait_for("it is overdue", || {
+        table.reassign_overdue(&mut sends).contains(&first)
+    });
     let (to, ask) = asked(&sends).expect("it is asked again");
     assert_eq!((&*to, id::from_wire(&ask.id)), ("suva-0", Some(id)));
     let withdrawn = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == first;
--- a/crates/drumusher/tests/unit/budget.rs
+++ b/crates/drumusher/tests/unit/budget.rs
@@ -233,7 +233,7 @@
 fn what_an_instance_says_breaks_nothing() {
     let mut budget = Budget::new(BOUND);
     budget.delegate(SECOND, Entry(1), 0.0);
-    let part = |age, repeats| Bucket { age, requests: u32::MAX, repeats };
+    let part = |age, retries| Bucket { age, requests: u32::MAX, retries };
     let parts = [part(u64::MAX, 1), part(0, u32::MAX), part(0, u32::MAX), part(0, u32::MAX)];
     budget.replace_counts(SECOND, Entry(1), parts);
     assert_eq!(left(&mut budget, SECOND, 1), 0);
