--- a/crates/drumusher/src/process/broker/delegation.rs
+++ b/crates/drumusher/src/process/broker/delegation.rs
@@ -101,7 +101,7 @@
     }
 
     /// Records that the dispatcher `from` got an ask, and with it the counts of this instance.
-    pub fn heard(&mut self, pool: &Pool, from: &Arc<str>) {
+    pub fn acknowledged(&mut self, pool: &Pool, from: &Arc<str>) {
         if let Some(delegation) =
             self.delegations.get_mut(pool).filter(|delegation| delegation.to == *from)
         {
@@ -112,7 +112,7 @@
     /// Records a grant of the dispatcher `from`, which reports how much of the shares delegated to it is `spent`, in
     /// thousandths. A retry is counted.
     pub fn granted(&mut self, now: Micros, pool: &Pool, from: &Arc<str>, retry: bool, spent: i16) {
-        self.heard(pool, from);
+        self.acknowledged(pool, from);
         let Some(delegation) = self.delegations.get_mut(pool) else { return };
         if retry {
             delegation.counts.repeat(now, 1);
--- a/crates/drumusher/src/process/broker/table/answers.rs
+++ b/crates/drumusher/src/process/broker/table/answers.rs
@@ -98,7 +98,7 @@
         }
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.awaiting_since = None;
-            self.delegations.heard(&pending.request.pool, from);
+            self.delegations.acknowledged(&pending.request.pool, from);
         }
     }
 }
--- a/crates/drumusher/tests/unit/budget.rs
+++ b/crates/drumusher/tests/unit/budget.rs
@@ -152,7 +152,7 @@
             if budget.reserve(now, entry, count) {
                 self.waiting.push((now + wait, instance, dispatcher));
             }
-            self.loans[instance].heard(&pool, name);
+            self.loans[instance].acknowledged(&pool, name);
             return;
         }
         let spent = (budget.spent(now, count) * 1_000.0) as i16;
