--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -175,7 +175,7 @@
 
 /// A message that the peers thread is to send.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct Outgoing {
     /// The receiving instance; the own name stands for the dispatch thread of this process.
     pub to: Arc<str>,
     /// The message.
--- a/crates/drumusher/src/process/broker/crash.rs
+++ b/crates/drumusher/src/process/broker/crash.rs
@@ -9,7 +9,7 @@
 };
 use drumusher_wire::peer::{self, Message};
 
-use super::{Send, View};
+use super::{Outgoing, View};
 use crate::{request::id, version::Pool};
 
 /// How long a crash is reported again when the dispatcher changes. The previous dispatcher wrote it to the store within
@@ -57,22 +57,22 @@
 
 impl Crashes {
     /// Adds a crash and reports it to the dispatcher of its pool.
-    pub fn add(&mut self, now: Micros, crash: Crash, view: &View, sends: &mut Vec<Send>) {
+    pub fn add(&mut self, now: Micros, crash: Crash, view: &View, sends: &mut Vec<Outgoing>) {
         self.expire(now);
         let Some(to) = view.dispatcher(&crash.pool, &crash.area) else {
             return;
         };
-        sends.push(Send { to: to.clone(), message: message(&crash) });
+        sends.push(Outgoing { to: to.clone(), message: message(&crash) });
         self.reports.push_back(Reported { at: now, to, crash });
     }
 
     /// Reports the crashes again whose dispatcher changed.
-    pub fn reassign(&mut self, now: Micros, view: &View, sends: &mut Vec<Send>) {
+    pub fn reassign(&mut self, now: Micros, view: &View, sends: &mut Vec<Outgoing>) {
         self.expire(now);
         for reported in &mut self.reports {
             let to = view.dispatcher(&reported.crash.pool, &reported.crash.area);
             if let Some(to) = to.filter(|to| *to != reported.to) {
-                sends.push(Send { to: to.clone(), message: message(&reported.crash) });
+                sends.push(Outgoing { to: to.clone(), message: message(&reported.crash) });
                 reported.to = to;
             }
         }
--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -11,7 +11,7 @@
 use drumusher_wire::peer::{self, Message};
 
 use super::{
-    Attempt, Crashes, Delegations, DispatchRequest, Input, Reply, Report, Send, View, wire,
+    Attempt, Crashes, Delegations, DispatchRequest, Input, Outgoing, Reply, Report, View, wire,
 };
 use crate::{
     process::{
@@ -106,7 +106,7 @@
     }
 
     /// Handles a message of a request.
-    pub fn handle(&mut self, input: Input, sends: &mut Vec<Send>) {
+    pub fn handle(&mut self, input: Input, sends: &mut Vec<Outgoing>) {
         match input {
             Input::Open(request) => self.open(*request, sends),
             Input::Finish(id, outcome, produced) => self.finish(id, outcome, produced, sends),
@@ -119,15 +119,15 @@
 
     /// Reports what a backend server announced to the pool's dispatcher in use. A later dispatcher gets it with the
     /// first ask.
-    fn notice(&self, record: &notices::Record, sends: &mut Vec<Send>) {
+    fn notice(&self, record: &notices::Record, sends: &mut Vec<Outgoing>) {
         if let Some(to) = self.delegations.dispatcher(&record.pool) {
             let message = Message::Notice(wire::notice(record, clock::now()));
-            sends.push(Send { to: to.clone(), message });
+            sends.push(Outgoing { to: to.clone(), message });
         }
     }
 
     /// Adds a request and sends it to its dispatcher.
-    fn open(&mut self, request: DispatchRequest, sends: &mut Vec<Send>) {
+    fn open(&mut self, request: DispatchRequest, sends: &mut Vec<Outgoing>) {
         let id = request.id;
         let dispatcher = self.view.dispatcher(&request.pool, &request.area);
         let pending = Pending {
@@ -144,7 +144,7 @@
     }
 
     /// Sends the ask of a request to its dispatcher; refuses the request if there is none.
-    fn ask(&mut self, id: Id, redirected: bool, sends: &mut Vec<Send>) {
+    fn ask(&mut self, id: Id, redirected: bool, sends: &mut Vec<Outgoing>) {
         let Some(pending) = self.pending.get(&id) else {
             return;
         };
@@ -174,11 +174,11 @@
             let known: Vec<_> = known.iter().map(|record| wire::notice(record, now)).collect();
             ask.notices = (!known.is_empty()).then_some(known);
         }
-        sends.push(Send { to, message: Message::Ask(ask) });
+        sends.push(Outgoing { to, message: Message::Ask(ask) });
     }
 
     /// Removes a request that ended or no longer needs its grant, and notifies its dispatcher.
-    fn finish(&mut self, id: Id, outcome: i16, produced: u32, sends: &mut Vec<Send>) {
+    fn finish(&mut self, id: Id, outcome: i16, produced: u32, sends: &mut Vec<Outgoing>) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
@@ -204,7 +204,7 @@
             }
             None => Message::Withdraw(peer::Withdraw::new(bytes, pool)),
         };
-        sends.push(Send { to, message });
+        sends.push(Outgoing { to, message });
     }
 
     fn record_progress(&mut self, id: Id, report: Report) {
@@ -219,7 +219,7 @@
 
     /// Sends the progress reports that are due, in batches, and keepalive reports for running attempts without
     /// progress.
-    pub fn reports(&mut self, sends: &mut Vec<Send>) {
+    pub fn reports(&mut self, sends: &mut Vec<Outgoing>) {
         let now = clock::now();
         let silent = self.pending.iter().filter(|(_, pending)| {
             pending.server.is_some() && now >= pending.reported + KEEPALIVE_INTERVAL
@@ -249,13 +249,13 @@
         }
         for ((to, pool), reports) in batches {
             let batch = peer::ProgressBatch::new(pool.to_string(), reports);
-            sends.push(Send { to, message: Message::Progress(batch) });
+            sends.push(Outgoing { to, message: Message::Progress(batch) });
         }
     }
 
     /// Moves the requests of dispatchers that did not answer within [`ANSWER_TIMEOUT`] to the own dispatch thread,
     /// which decides with what it knows. Returns these dispatchers.
-    pub fn reassign_overdue(&mut self, sends: &mut Vec<Send>) -> BTreeSet<Arc<str>> {
+    pub fn reassign_overdue(&mut self, sends: &mut Vec<Outgoing>) -> BTreeSet<Arc<str>> {
         let now = clock::now();
         let mut silent = BTreeSet::new();
         let mut overdue = Vec::new();
@@ -286,13 +286,18 @@
     }
 
     /// Sets a new directory, and moves the requests whose dispatcher changes.
-    pub fn set_directory(&mut self, directory: Arc<Directory>, sends: &mut Vec<Send>) {
+    pub fn set_directory(&mut self, directory: Arc<Directory>, sends: &mut Vec<Outgoing>) {
         self.view.set_directory(directory);
         self.reassign(sends);
     }
 
     /// Records whether an instance is reachable.
-    pub fn set_reachable(&mut self, instance: &Arc<str>, reachable: bool, sends: &mut Vec<Send>) {
+    pub fn set_reachable(
+        &mut self,
+        instance: &Arc<str>,
+        reachable: bool,
+        sends: &mut Vec<Outgoing>,
+    ) {
         if reachable {
             self.delegations.connected(instance);
         }
@@ -302,7 +307,7 @@
     }
 
     /// Records whether an instance is leaving.
-    pub fn set_leaving(&mut self, instance: &Arc<str>, leaving: bool, sends: &mut Vec<Send>) {
+    pub fn set_leaving(&mut self, instance: &Arc<str>, leaving: bool, sends: &mut Vec<Outgoing>) {
         if self.view.set_leaving(instance, leaving) {
             self.reassign(sends);
         }
@@ -314,14 +319,14 @@
     }
 
     /// Hands the roles of the own instance over, since it is stopping.
-    pub fn stop(&mut self, sends: &mut Vec<Send>) {
+    pub fn stop(&mut self, sends: &mut Vec<Outgoing>) {
         self.view.stop();
         self.reassign(sends);
     }
 
     /// Moves each request whose dispatcher changed. The new dispatcher gets an ask with the original arrival time, and
     /// with the granted server if the request runs; the old one gets a withdrawal.
-    fn reassign(&mut self, sends: &mut Vec<Send>) {
+    fn reassign(&mut self, sends: &mut Vec<Outgoing>) {
         let mut owners: HashMap<(Pool, Arc<str>), Option<Arc<str>>> = HashMap::new();
         let ids: Vec<Id> = self.pending.keys().copied().collect();
         for id in ids {
@@ -341,7 +346,7 @@
     }
 
     /// Moves a request to another dispatcher, and withdraws it from the old one.
-    fn assign(&mut self, id: Id, owner: Option<Arc<str>>, sends: &mut Vec<Send>) {
+    fn assign(&mut self, id: Id, owner: Option<Arc<str>>, sends: &mut Vec<Outgoing>) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
@@ -352,7 +357,7 @@
         if let Some(to) = old {
             let bytes = id::to_wire(id);
             let withdraw = peer::Withdraw::new(bytes, pending.request.pool.to_string());
-            sends.push(Send { to, message: Message::Withdraw(withdraw) });
+            sends.push(Outgoing { to, message: Message::Withdraw(withdraw) });
         }
         if pending.server.is_some() && pending.dispatcher.is_none() {
             return;
@@ -361,7 +366,7 @@
     }
 
     /// Sends the asks of an instance again after its connection was lost and restored.
-    pub fn resend(&mut self, instance: &Arc<str>, sends: &mut Vec<Send>) {
+    pub fn resend(&mut self, instance: &Arc<str>, sends: &mut Vec<Outgoing>) {
         self.delegations.connected(instance);
         let asked = self.pending.iter().filter(|(_, h)| h.dispatcher.as_ref() == Some(instance));
         let ids: Vec<Id> = asked.map(|(id, _)| *id).collect();
--- a/crates/drumusher/src/process/broker/table/answers.rs
+++ b/crates/drumusher/src/process/broker/table/answers.rs
@@ -8,7 +8,7 @@
 use super::Table;
 use crate::{
     process::{
-        broker::{Attempt, CANCELLED, Reply, Send, wire},
+        broker::{Attempt, CANCELLED, Outgoing, Reply, wire},
         clock,
     },
     request::id,
@@ -17,7 +17,7 @@
 impl Table {
     /// Handles an answer of a dispatcher. An answer for a request that another dispatcher has by now is ignored: the
     /// previous one got a withdrawal.
-    pub fn answer(&mut self, from: &Arc<str>, message: Message, sends: &mut Vec<Send>) {
+    pub fn answer(&mut self, from: &Arc<str>, message: Message, sends: &mut Vec<Outgoing>) {
         match message {
             Message::Grant(grant) => self.grant(from, &grant, sends),
             Message::Refuse(refuse) => {
@@ -49,7 +49,7 @@
     }
 
     /// Passes a grant to its request, unless that has a grant or another dispatcher by now.
-    fn grant(&mut self, from: &Arc<str>, grant: &peer::Grant, sends: &mut Vec<Send>) {
+    fn grant(&mut self, from: &Arc<str>, grant: &peer::Grant, sends: &mut Vec<Outgoing>) {
         let Some(id) = id::from_wire(&grant.id) else {
             return;
         };
@@ -73,7 +73,7 @@
     }
 
     /// Sends the ask to the dispatcher that `from` names if it is reachable, else to `from` again.
-    fn redirect(&mut self, from: &Arc<str>, redirect: &peer::Redirect, sends: &mut Vec<Send>) {
+    fn redirect(&mut self, from: &Arc<str>, redirect: &peer::Redirect, sends: &mut Vec<Outgoing>) {
         let Some(id) = id::from_wire(&redirect.id) else {
             return;
         };
--- a/crates/drumusher/src/process/peers/link.rs
+++ b/crates/drumusher/src/process/peers/link.rs
@@ -16,7 +16,7 @@
 const SOUGHT: usize = 3;
 
 impl Peers {
-    pub(super) fn send_all(&self, sends: Vec<broker::Send>) {
+    pub(super) fn send_all(&self, sends: Vec<broker::Outgoing>) {
         for send in sends {
             self.send(&send.to, send.message);
         }
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -4,7 +4,7 @@
 
 use drumusher::{
     process::{
-        broker::{Attempt, DispatchRequest, Input, Reply, Report, Send, Table, View},
+        broker::{Attempt, DispatchRequest, Input, Outgoing, Reply, Report, Table, View},
         clock,
         notices::{Answer, KnownLimit, Notices},
     },
@@ -43,7 +43,7 @@
     Pool::Model("draft".into())
 }
 
-fn open(table: &mut Table, id: u128) -> (Vec<Send>, async_channel::Receiver<Reply>) {
+fn open(table: &mut Table, id: u128) -> (Vec<Outgoing>, async_channel::Receiver<Reply>) {
     let (replies, receiver) = async_channel::bounded(8);
     let own = DispatchRequest {
         attempt: Attempt::First,
@@ -69,14 +69,14 @@
     (sends, receiver)
 }
 
-fn asked(sends: &[Send]) -> Option<(Arc<str>, peer::Ask)> {
+fn asked(sends: &[Outgoing]) -> Option<(Arc<str>, peer::Ask)> {
     sends.iter().find_map(|send| match &send.message {
         Message::Ask(ask) => Some((send.to.clone(), ask.clone())),
         _ => None,
     })
 }
 
-fn grant(table: &mut Table, from: &Arc<str>, id: u128) -> Vec<Send> {
+fn grant(table: &mut Table, from: &Arc<str>, id: u128) -> Vec<Outgoing> {
     let mut sends = Vec::new();
     let grant = peer::Grant::new(
         id::to_wire(id),
@@ -108,7 +108,8 @@
     let mut sends = Vec::new();
     table.set_reachable(&first, true, &mut sends);
     assert_eq!(asked(&sends).map(|(to, _)| to), Some(first));
-    let forgets = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == second;
+    let forgets =
+        |send: &Outgoing| matches!(send.message, Message::Withdraw(_)) && send.to == second;
     assert!(sends.iter().any(forgets));
 }
 
@@ -229,7 +230,8 @@
     });
     let (to, ask) = asked(&sends).expect("it is asked again");
     assert_eq!((&*to, id::from_wire(&ask.id)), ("suva-0", Some(id)));
-    let withdrawn = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == first;
+    let withdrawn =
+        |send: &Outgoing| matches!(send.message, Message::Withdraw(_)) && send.to == first;
     assert!(sends.iter().any(withdrawn), "the silent one is told to forget");
     assert!(table.reassign_overdue(&mut Vec::new()).is_empty(), "the own one owes nothing");
 }
@@ -372,7 +374,7 @@
     let (pool, known_limit) = (pool(), KnownLimit::default());
     let answer = Answer { pool: &pool, server: &server, sent: 0, known_limit, notice: &notice };
     let record = notices.record_answer(clock::now(), &answer).expect("it is new");
-    let brought = |sends: &[Send]| {
+    let brought = |sends: &[Outgoing]| {
         let (to, ask) = asked(sends).expect("it is asked");
         (to, ask.notices.iter().flatten().map(|notice| notice.server.clone()).collect::<Vec<_>>())
     };
@@ -384,7 +386,7 @@
     assert_eq!(brought(&sends), (first.clone(), Vec::new()), "it knows");
     let mut sends = Vec::new();
     table.handle(Input::Notice(Box::new(record)), &mut sends);
-    assert!(matches!(&sends[..], [Send { to, message: Message::Notice(_) }] if *to == first));
+    assert!(matches!(&sends[..], [Outgoing { to, message: Message::Notice(_) }] if *to == first));
     let mut sends = Vec::new();
     table.set_reachable(&first, false, &mut sends);
     let (second, names) = brought(&sends);
