--- a/crates/drumusher/src/process/broker/delegation.rs
+++ b/crates/drumusher/src/process/broker/delegation.rs
@@ -90,7 +90,7 @@
         delegation.shares.retain(|_, share| now <= share.until);
         let sent = (!delegation.has_counts).then(|| delegation.counts.recent(now).collect());
         if first {
-            delegation.counts.request(now);
+            delegation.counts.add_request(now);
         }
         BudgetReport { spent: delegation.spent_elsewhere(), sent }
     }
@@ -115,7 +115,7 @@
         self.acknowledged(pool, from);
         let Some(delegation) = self.delegations.get_mut(pool) else { return };
         if retry {
-            delegation.counts.repeat(now, 1);
+            delegation.counts.add_retries(now, 1);
         }
         if delegation.to == *from {
             let left = (SPENT_SCALE - i32::from(delegation.spent_elsewhere())).max(0);
--- a/crates/drumusher/src/process/counts.rs
+++ b/crates/drumusher/src/process/counts.rs
@@ -41,12 +41,12 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: Micros) {
+    pub fn add_request(&mut self, now: Micros) {
         self.current_bucket(now).requests += 1;
     }
 
     /// Counts retries.
-    pub fn repeat(&mut self, now: Micros, count: u32) {
+    pub fn add_retries(&mut self, now: Micros, count: u32) {
         self.current_bucket(now).retries += count;
     }
 
--- a/crates/drumusher/src/process/dispatch/budget.rs
+++ b/crates/drumusher/src/process/dispatch/budget.rs
@@ -131,18 +131,18 @@
         let (requests, retries) = account.counts.latest(now);
         let own = self.bound.ratio * f64::from(requests) + self.allowance(1.0, instances);
         let excess = (f64::from(retries) - own).max(0.0).ceil();
-        self.departed.repeat(now, excess as u32);
+        self.departed.add_retries(now, excess as u32);
         self.sums = None;
     }
 
     /// Counts a request of an instance.
     pub fn request(&mut self, now: Micros, entry: Entry) {
-        self.local.request(now);
+        self.local.add_request(now);
         if let Some(account) = self.accounts.get_mut(&entry) {
-            account.counts.request(now);
+            account.counts.add_request(now);
         }
         if let Some(sums) = &mut self.sums {
-            sums.counts.request(now);
+            sums.counts.add_request(now);
         }
     }
 
@@ -174,12 +174,12 @@
         if !may_be_sent {
             return false;
         }
-        self.local.repeat(now, 1);
+        self.local.add_retries(now, 1);
         if let Some(account) = self.accounts.get_mut(&entry) {
-            account.counts.repeat(now, 1);
+            account.counts.add_retries(now, 1);
         }
         if let Some(sums) = &mut self.sums {
-            sums.counts.repeat(now, 1);
+            sums.counts.add_retries(now, 1);
         }
         true
     }
