--- a/crates/drumusher/src/process/catalog/kept.rs
+++ b/crates/drumusher/src/process/catalog/kept.rs
@@ -63,7 +63,8 @@
             }
         };
         let parts = parts.into_iter().map(|part| part.id).collect();
-        let input = Input::CachedParts { pool: pool.clone(), server: Arc::clone(&engine.name), parts };
+        let input =
+            Input::CachedParts { pool: pool.clone(), server: Arc::clone(&engine.name), parts };
         if self.shared.dispatch.try_send(input).is_err() {
             log::warn!(server = &*engine.name; "the decisions are too busy to be told what an engine keeps");
         }
--- a/crates/drumusher/src/request/flow.rs
+++ b/crates/drumusher/src/request/flow.rs
@@ -17,7 +17,7 @@
     error::{Error, Kind, Ran},
     process::{
         Shared,
-        broker::{Attempt, CANCELLED, Grant, Input, DispatchRequest, Reply, Report},
+        broker::{Attempt, CANCELLED, DispatchRequest, Grant, Input, Reply, Report},
         clock,
     },
     version::{Backend, Pool},
--- a/crates/drumusher/src/routed/exchange/notice.rs
+++ b/crates/drumusher/src/routed/exchange/notice.rs
@@ -22,8 +22,13 @@
         let shared = &self.worker.shared;
         let pool = Pool::Service(self.request.found.service.clone());
         let sent = if own { self.handed_at } else { 0 };
-        let answer =
-            notices::Answer { pool: &pool, server: backend, sent, known_limit: self.known_limit, notice };
+        let answer = notices::Answer {
+            pool: &pool,
+            server: backend,
+            sent,
+            known_limit: self.known_limit,
+            notice,
+        };
         let told = shared.notices.record_answer(clock::now(), &answer);
         if let Some(record) = told {
             shared.broker.send(Input::Notice(Box::new(record)));
@@ -39,7 +44,8 @@
     /// Why it may not.
     pub(super) fn may_send(&self, backend: &Backend) -> Result<(), Withheld> {
         let shared = &self.worker.shared;
-        let Some((why, record)) = shared.notices.withheld(clock::now(), backend, self.known_limit) else {
+        let Some((why, record)) = shared.notices.withheld(clock::now(), backend, self.known_limit)
+        else {
             return Ok(());
         };
         log::info!(
--- a/crates/drumusher/src/routed/ticket.rs
+++ b/crates/drumusher/src/routed/ticket.rs
@@ -12,7 +12,7 @@
 use crate::{
     process::{
         Shared,
-        broker::{Attempt, CANCELLED, Grant, Input, DispatchRequest, Reply, Report},
+        broker::{Attempt, CANCELLED, DispatchRequest, Grant, Input, Reply, Report},
         clock,
     },
     version::Pool,
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -62,7 +62,12 @@
     notices.record_answer(at, &Answer { pool: &pool(), server, sent, known_limit, notice: &notice })
 }
 
-fn why(notices: &Notices, at: Micros, server: &Backend, known_limit: KnownLimit) -> Option<Withheld> {
+fn why(
+    notices: &Notices,
+    at: Micros,
+    server: &Backend,
+    known_limit: KnownLimit,
+) -> Option<Withheld> {
     notices.withheld(at, server, known_limit).map(|(why, _)| why)
 }
 
