--- a/crates/drumusher-duty/src/lease.rs
+++ b/crates/drumusher-duty/src/lease.rs
@@ -150,7 +150,7 @@
     /// When the register was last read.
     read_at: Micros,
     unconfirmed: Option<Unconfirmed>,
-    /// The end of the own lease; 0 without one.
+    /// The end of this instance's lease; 0 without one.
     until: Micros,
     /// When the latest successful renewal was sent.
     renewed_at: Micros,
@@ -158,7 +158,7 @@
     token: Option<u64>,
     /// The progress in the latest version that this instance wrote.
     progress: Progress,
-    /// When the latest own call ended; the start of the process if there was none.
+    /// When the latest call of this instance ended; the start of its process if there was none.
     call_ended: Micros,
     /// No call is permitted before this time.
     no_call_before: Micros,
@@ -361,7 +361,7 @@
         self.token
     }
 
-    /// Time until the own lease ends; 0 without one.
+    /// Time until this instance's lease ends; 0 without one.
     pub fn left(&self, now: Micros) -> Micros {
         self.until.saturating_sub(now)
     }
--- a/crates/drumusher-duty/tests/duty/lease.rs
+++ b/crates/drumusher-duty/tests/duty/lease.rs
@@ -95,7 +95,7 @@
     assert!(lease.permit(4 * SECOND + LENGTH, WITHIN).is_none());
 }
 
-/// After another instance's term, a new term starts only when the own last call is long enough ago.
+/// After another instance's term, a new term starts only when the last call of the earlier one is long enough ago.
 #[test]
 fn terms_of_one_instance_have_a_gap() {
     let mut lease = lease("a");
--- a/crates/drumusher-duty/tests/duty/usage.rs
+++ b/crates/drumusher-duty/tests/duty/usage.rs
@@ -33,9 +33,9 @@
 fn counts_that_may_not_have_arrived_are_published_again() {
     let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
     tally.count_started(7, "a");
-    let told = tally.take_update("i1", 1).expect("counts changed");
-    aggregate.add(&told);
-    tally.mark_unpublished(&told);
+    let update = tally.take_update("i1", 1).expect("counts changed");
+    aggregate.add(&update);
+    tally.mark_unpublished(&update);
     let again = tally.take_update("i1", 1).expect("it is published again");
     aggregate.add(&again);
     assert_eq!(aggregate.counts(7), counts(&[("a", 1)]));
@@ -101,21 +101,21 @@
     ) {
         let names = ["a", "b", "c"];
         let (mut tally, mut aggregate) = (Tally::new(), Aggregate::new());
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         let mut sums = [(); 4].map(|()| Counts::new());
         for (window, workspace, tell) in requests {
             tally.count_started(window, names[workspace]);
             *sums[window as usize].entry(names[workspace].into()).or_default() += 1;
-            if tell && let Some(news) = tally.take_update("i1", 1) {
+            if tell && let Some(update) = tally.take_update("i1", 1) {
                 // Every other update is lost, and published again.
-                if told.len() % 2 == 0 { aggregate.add(&news) } else { tally.mark_unpublished(&news) }
-                told.push(news);
+                if updates.len() % 2 == 0 { aggregate.add(&update) } else { tally.mark_unpublished(&update) }
+                updates.push(update);
             }
         }
         if let Some(last) = tally.take_update("i1", 1) {
-            told.push(last);
+            updates.push(last);
         }
-        told.iter().rev().for_each(|news| aggregate.add(news));
+        updates.iter().rev().for_each(|update| aggregate.add(update));
         for (window, sum) in sums.iter().enumerate() {
             prop_assert_eq!(&aggregate.counts(window as u64), sum);
         }
--- a/crates/drumusher/src/process/broker.rs
+++ b/crates/drumusher/src/process/broker.rs
@@ -1,4 +1,5 @@
-//! The dispatch requests of this instance, and which dispatcher has each of them. Without I/O: the peers thread passes
+//! The dispatch requests of this instance, and which dispatcher has each of them. A dispatch request is sent as an `Ask`
+//! message, an *ask* for short. Without I/O: the peers thread passes
 //! in the messages and sends the resulting ones.
 
 mod crash;
@@ -112,7 +113,7 @@
     pub id: Id,
     /// Its pool.
     pub pool: Pool,
-    /// The area whose dispatcher is asked.
+    /// The area whose dispatcher gets the request.
     pub area: Arc<str>,
     /// Its workspace.
     pub workspace: Arc<str>,
@@ -176,7 +177,7 @@
 /// A message that the peers thread is to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// The receiving instance; the own name stands for the dispatch thread of this process.
+    /// The receiving instance; the name of this instance stands for its dispatch thread.
     pub to: Arc<str>,
     /// The message.
     pub message: Message,
--- a/crates/drumusher/src/process/broker/delegation.rs
+++ b/crates/drumusher/src/process/broker/delegation.rs
@@ -13,10 +13,10 @@
 
 /// Default window of the retry budget.
 const WINDOW: Micros = 10 * SECOND;
-/// A whole share, in the unit of the wire: shares are in thousandths.
+/// A whole share, in thousandths as in peer messages.
 const SPENT_SCALE: i32 = 1_000;
 
-/// How much of the own share a dispatcher spent, in thousandths, and until when that counts.
+/// How much of this instance's share a dispatcher spent, in thousandths, and until when that counts.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     spent: i16,
--- a/crates/drumusher/src/process/broker/table.rs
+++ b/crates/drumusher/src/process/broker/table.rs
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Moves the requests of dispatchers that did not answer within [`ANSWER_TIMEOUT`] to the own dispatch thread,
-    /// which decides with what it knows. Returns these dispatchers.
+    /// Moves the requests of dispatchers that did not answer within [`ANSWER_TIMEOUT`] to the dispatch thread of this
+    /// instance, which decides with what it knows. Returns these dispatchers.
     pub fn reassign_overdue(&mut self, sends: &mut Vec<Outgoing>) -> BTreeSet<Arc<str>> {
         let now = clock::now();
         let mut silent = BTreeSet::new();
@@ -277,7 +277,7 @@
         silent
     }
 
-    /// Restarts the answer timeouts after a pause of the own process, during which answers could not be read.
+    /// Restarts the answer timeouts after a pause of this process, during which it could not read answers.
     pub fn restart_answer_timers(&mut self) {
         let now = clock::now();
         for pending in self.pending.values_mut() {
@@ -318,7 +318,7 @@
         self.view.set_store_readable(now, instance, readable);
     }
 
-    /// Hands the roles of the own instance over, since it is stopping.
+    /// Hands the roles of this instance over, since it is stopping.
     pub fn stop(&mut self, sends: &mut Vec<Outgoing>) {
         self.view.stop();
         self.reassign(sends);
@@ -331,12 +331,12 @@
         let ids: Vec<Id> = self.pending.keys().copied().collect();
         for id in ids {
             let request = &self.pending[&id].request;
-            let place = (request.pool.clone(), request.area.clone());
-            let owner = match owners.get(&place) {
+            let key = (request.pool.clone(), request.area.clone());
+            let owner = match owners.get(&key) {
                 Some(owner) => owner.clone(),
                 None => {
-                    let owner = self.view.dispatcher(&place.0, &place.1);
-                    owners.insert(place, owner.clone());
+                    let owner = self.view.dispatcher(&key.0, &key.1);
+                    owners.insert(key, owner.clone());
                     owner
                 }
             };
@@ -368,8 +368,8 @@
     /// Sends the asks of an instance again after its connection was lost and restored.
     pub fn resend(&mut self, instance: &Arc<str>, sends: &mut Vec<Outgoing>) {
         self.delegations.connected(instance);
-        let asked = self.pending.iter().filter(|(_, h)| h.dispatcher.as_ref() == Some(instance));
-        let ids: Vec<Id> = asked.map(|(id, _)| *id).collect();
+        let affected = self.pending.iter().filter(|(_, h)| h.dispatcher.as_ref() == Some(instance));
+        let ids: Vec<Id> = affected.map(|(id, _)| *id).collect();
         for id in ids {
             self.ask(id, true, sends);
         }
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The number of listed instances in the own area, and whether none of the others is reachable.
+    /// The number of listed instances in this instance's area, and whether none of the others is reachable.
     pub fn isolation(&self) -> (usize, bool) {
         let listed = 1 + self.others(&self.area).count();
         let reachable = self.others(&self.area).any(|other| !self.is_unreachable(&other.name));
--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -56,7 +56,7 @@
             }
             return;
         }
-        let Some(ask) = self.read_ask(entry, message, pool) else {
+        let Some(ask) = self.decode_ask(entry, message, pool) else {
             return;
         };
         let declared = message
@@ -71,7 +71,7 @@
             None => Event::Ask(ask),
         };
         self.handle(pool, event);
-        self.note_requester(entry, pool);
+        self.record_requester(entry, pool);
         self.acknowledge(entry, message, pool);
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Records another instance as a requester of a pool.
-    fn note_requester(&mut self, entry: Entry, pool: &Pool) {
+    fn record_requester(&mut self, entry: Entry, pool: &Pool) {
         if let Some(hosted) = self.pools.get_mut(pool).filter(|_| entry != LOCAL_ENTRY) {
             hosted.requesters.add(clock::now(), entry);
         }
@@ -132,7 +132,7 @@
         self.flush();
     }
 
-    fn read_ask(&self, entry: Entry, ask: &peer::Ask, pool: &Pool) -> Option<Ask> {
+    fn decode_ask(&self, entry: Entry, ask: &peer::Ask, pool: &Pool) -> Option<Ask> {
         let version = self.shared.version.load();
         let hosted = self.pools.get(pool)?;
         let on_trial = id::from_wire(&ask.id).and_then(|id| hosted.trials.was_alone(id)).is_some();
--- a/crates/drumusher/src/process/dispatch/health.rs
+++ b/crates/drumusher/src/process/dispatch/health.rs
@@ -37,19 +37,19 @@
     }
 
     /// Writes the log lines that are due. `names` holds the names of the backend servers, by key.
-    pub fn write(&mut self, pool: &Pool, decisions: &pool::Pool, names: &[Arc<str>], now: u64) {
+    pub fn write(&mut self, pool: &Pool, scheduler: &pool::Pool, names: &[Arc<str>], now: u64) {
         if now < self.checked_at + pool::TICK {
             return;
         }
         self.checked_at = now;
-        self.write_changes(pool, decisions, names, now);
-        self.write_outage(pool, decisions, now);
+        self.write_changes(pool, scheduler, names, now);
+        self.write_outage(pool, scheduler, now);
     }
 
     /// Logs each change of a backend server's health, with the measurements that led to it.
-    fn write_changes(&mut self, pool: &Pool, decisions: &pool::Pool, names: &[Arc<str>], now: u64) {
+    fn write_changes(&mut self, pool: &Pool, scheduler: &pool::Pool, names: &[Arc<str>], now: u64) {
         self.health.resize(names.len(), Health::Good);
-        for (key, server) in decisions.servers() {
+        for (key, server) in scheduler.servers() {
             let health = server.health();
             let before = std::mem::replace(&mut self.health[usize::from(key.0)], health);
             if before.word() == health.word() && before.down_for() == health.down_for() {
@@ -70,19 +70,19 @@
     }
 
     /// Logs how many requests were refused because no backend server can be probed soon.
-    fn write_outage(&mut self, pool: &Pool, decisions: &pool::Pool, now: u64) {
+    fn write_outage(&mut self, pool: &Pool, scheduler: &pool::Pool, now: u64) {
         if self.refused == 0 || now < self.outage + OUTAGE_LOG_INTERVAL {
             return;
         }
         self.outage = now;
         let refused = std::mem::take(&mut self.refused);
-        let down = decisions.servers().filter(|(_, server)| server.health().down_for().is_some());
+        let down = scheduler.servers().filter(|(_, server)| server.health().down_for().is_some());
         log::warn!(
             pool = pool.to_string().as_str(),
             refused = refused,
-            waiting = decisions.waiting(),
+            waiting = scheduler.waiting(),
             down = down.count(),
-            next_probe_ms = decisions.outage().unwrap_or(now).saturating_sub(now) / MILLISECOND;
+            next_probe_ms = scheduler.outage().unwrap_or(now).saturating_sub(now) / MILLISECOND;
             "requests refused: no backend server can be probed soon"
         );
     }
--- a/crates/drumusher/src/process/dispatch/hosted_pool.rs
+++ b/crates/drumusher/src/process/dispatch/hosted_pool.rs
@@ -24,7 +24,7 @@
     born_ms: Option<u64>,
 }
 
-/// The state of one pool that this instance dispatches: its scheduler, and what is kept beside it.
+/// The state of one pool that this instance dispatches: its scheduler, the names of its backend servers, its retry budget and its trials.
 pub struct HostedPool {
     /// Decides which request runs where and when.
     pub(super) scheduler: pool::Pool,
@@ -180,9 +180,9 @@
             let key = self.key(name);
             events.push(if leaving { Event::Leave(key) } else { Event::Server(key, options) });
         }
-        let gone: Vec<Arc<str>> =
+        let unlisted: Vec<Arc<str>> =
             self.applied.keys().filter(|name| !wanted.contains_key(*name)).cloned().collect();
-        for name in gone {
+        for name in unlisted {
             self.applied.remove(&name);
             self.reported_leaving.remove(&name);
             // The scheduler forgets the limit too: nothing would lift it when the server is listed again.
