--- a/crates/drumusher-duty/src/sizing.rs
+++ b/crates/drumusher-duty/src/sizing.rs
@@ -1,10 +1,10 @@
 //! Autoscaling: the number of backend servers of a service in each availability zone.
 //!
-//! There are two kinds of servers. *Ordinary* ones run until they are scaled down. *Spot* ones cost a fraction of
+//! There are two kinds of servers. *On-demand* ones run until they are scaled down. *Spot* ones cost a fraction of
 //! that, but may be reclaimed, all of a zone's at once, with a notice of seconds, and may then be unavailable for a
-//! while. So spot servers carry the load, beside the minimum number of ordinary servers, and are spread over the
+//! while. So spot servers carry the load, beside the minimum number of on-demand servers, and are spread over the
 //! zones so that the rest carries the load when one zone loses its spot servers. While spot servers are unavailable,
-//! ordinary ones replace them.
+//! on-demand ones replace them.
 //!
 //! The target follows from the number of requests that run or wait: its mean with headroom for a burst, and its recent
 //! peak. A server takes seconds to start, within which a burst of two to three times the mean is over or has done its
@@ -14,8 +14,8 @@
 
 use crate::time::{Micros, SECOND};
 
-/// Slots for each request of the mean load, at the price of ordinary servers.
-const HEADROOM_ORDINARY: f64 = 1.6;
+/// Slots for each request of the mean load, at the price of on-demand servers.
+const HEADROOM_ON_DEMAND: f64 = 1.6;
 /// Slots for each request of the mean load if servers were free: enough for a burst of nearly three times the mean.
 const HEADROOM_FREE: f64 = 2.8;
 /// Slots for each request of the recent peak load.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// Runs until it is scaled down.
-    Ordinary,
+    OnDemand,
     /// Cheaper, but may be reclaimed at short notice.
     Spot,
 }
@@ -62,15 +62,15 @@
     pub max_servers: u32,
     /// Time until a new server accepts requests.
     pub startup: Micros,
-    /// The price of a spot server as a fraction of an ordinary one's; 1 if there are no spot servers.
+    /// The price of a spot server as a fraction of an on-demand one's; 1 if there are no spot servers.
     pub spot_price: f64,
 }
 
 /// The number of servers in a zone that accept requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Ordinary ones.
-    pub ordinary: u32,
+    /// On-demand ones.
+    pub on_demand: u32,
     /// Spot ones.
     pub spot: u32,
 }
@@ -78,13 +78,13 @@
 impl Count {
     /// The number of servers of both kinds.
     pub fn all(self) -> u32 {
-        self.ordinary + self.spot
+        self.on_demand + self.spot
     }
 
     /// The number of servers of a kind.
     pub fn of(self, kind: Kind) -> u32 {
         match kind {
-            Kind::Ordinary => self.ordinary,
+            Kind::OnDemand => self.on_demand,
             Kind::Spot => self.spot,
         }
     }
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The platform accepted it.
-    Taken,
+    Accepted,
     /// No such servers are available now.
     Unavailable,
     /// It is unknown whether the platform accepted it.
@@ -143,9 +143,9 @@
         (each.ceil() as u32).clamp(bounds.min_servers, bounds.max_servers)
     }
 
-    /// The minimum number of ordinary servers among `each` servers of a zone. In a single zone half of them are
-    /// ordinary, since nothing else is left when its spot servers are reclaimed.
-    fn min_ordinary(self, each: u32, bounds: &Bounds) -> u32 {
+    /// The minimum number of on-demand servers among `each` servers of a zone. In a single zone half of them are
+    /// on-demand, since nothing else is left when its spot servers are reclaimed.
+    fn min_on_demand(self, each: u32, bounds: &Bounds) -> u32 {
         match (self.spot, self.zones) {
             (false, _) => each,
             (true, 1) => each.div_ceil(2),
@@ -226,7 +226,7 @@
     /// The number of slots wanted for the recent load; `None` if there was no load.
     fn wanted_slots(&self, now: Micros, bounds: &Bounds) -> Option<f64> {
         let price = bounds.spot_price.clamp(0.0, 1.0);
-        let headroom = HEADROOM_FREE + (HEADROOM_ORDINARY - HEADROOM_FREE) * price;
+        let headroom = HEADROOM_FREE + (HEADROOM_ON_DEMAND - HEADROOM_FREE) * price;
         let wanted = (self.mean * headroom).max(self.peak_now(now) * HEADROOM_PEAK);
         (self.peak > 0.0).then_some(wanted)
     }
@@ -247,7 +247,7 @@
         let zones: Zones = self.zones.iter().map(|zone| (zone.clone(), present(zone))).collect();
         let wanted = self.targets(now, bounds, &zones, slots);
         for (zone, count) in &wanted {
-            for kind in [Kind::Spot, Kind::Ordinary] {
+            for kind in [Kind::Spot, Kind::OnDemand] {
                 let present = zones.get(zone).map_or(0, |present| present.of(kind));
                 if self.is_due(now, bounds, (zone, kind), count.of(kind), present) {
                     return Some(Order { zone: zone.clone(), kind, count: count.of(kind) });
@@ -275,7 +275,7 @@
     pub fn ended(&mut self, now: Micros, order: &Order, outcome: Outcome) {
         let last = self.orders.entry((order.zone.clone(), order.kind)).or_default();
         match outcome {
-            Outcome::Taken => {
+            Outcome::Accepted => {
                 last.count = Some(order.count);
                 last.at = now;
                 last.pause = 0;
@@ -291,22 +291,22 @@
     fn targets(&mut self, now: Micros, bounds: &Bounds, zones: &Zones, slots: u32) -> Zones {
         let layout = Layout::new(bounds, zones.len() as u32);
         let each = self.update_target(now, bounds, layout, slots);
-        let (base, needed) = (layout.min_ordinary(each, bounds), layout.without_spare(each));
+        let (base, needed) = (layout.min_on_demand(each, bounds), layout.without_spare(each));
         let present: u32 = zones.values().map(|count| count.all()).sum();
         let extra = self.missing_per_zone(present, layout.zones, slots);
         let zone = |(zone, present): (&String, &Count)| {
-            // Ordinary servers are scaled down once spot servers replace them, and up while spot servers are
+            // On-demand servers are scaled down once spot servers replace them, and up while spot servers are
             // unavailable.
             let gap = needed.saturating_sub(present.spot);
             let added = if self.is_spot_unavailable(now, zone) { extra } else { 0 };
-            let ordinary = gap.min(present.ordinary + added).max(base);
+            let on_demand = gap.min(present.on_demand + added).max(base);
             // The maximum holds for both kinds together, also between two orders.
             let room = |kind| {
                 bounds.max_servers.saturating_sub(self.ordered_or_present(zone, kind, *present))
             };
-            let spot = (each - base).min(room(Kind::Ordinary));
-            let ordinary = ordinary.min(room(Kind::Spot));
-            (zone.clone(), Count { ordinary, spot })
+            let spot = (each - base).min(room(Kind::OnDemand));
+            let on_demand = on_demand.min(room(Kind::Spot));
+            (zone.clone(), Count { on_demand, spot })
         };
         zones.iter().map(zone).collect()
     }
--- a/crates/drumusher-duty/tests/duty/sizing.rs
+++ b/crates/drumusher-duty/tests/duty/sizing.rs
@@ -25,7 +25,7 @@
 
 impl Platform {
     fn new(zones: &[&str], each: u32) -> Self {
-        let count = Count { ordinary: each, spot: 0 };
+        let count = Count { on_demand: each, spot: 0 };
         let zones: Zones = zones.iter().map(|zone| (zone.to_string(), count)).collect();
         Platform {
             ordered: zones.clone(),
@@ -77,7 +77,7 @@
         for _ in starting.count() as u32..missing {
             self.starting.push((now + bounds().startup, order.zone.clone(), order.kind));
         }
-        Outcome::Taken
+        Outcome::Accepted
     }
 
     fn all(&self) -> u32 {
@@ -91,15 +91,15 @@
 
 fn count_of(count: &mut Count, kind: Kind) -> &mut u32 {
     match kind {
-        Kind::Ordinary => &mut count.ordinary,
+        Kind::OnDemand => &mut count.on_demand,
         Kind::Spot => &mut count.spot,
     }
 }
 
-/// Four zones have 28 ordinary servers each at full price, of which a third is ever used. Spot servers replace them
+/// Four zones have 28 on-demand servers each at full price, of which a third is ever used. Spot servers replace them
 /// before the first request, without fewer servers in between, and with enough to lose one zone's spot servers.
 #[test]
-fn spot_servers_replace_ordinary_ones() {
+fn spot_servers_replace_on_demand_ones() {
     let mut platform = Platform::new(&["a", "b", "c", "d"], 28);
     let mut sizer = Sizer::new();
     for second in 0..12 {
@@ -107,7 +107,7 @@
         assert!(platform.all() >= 112, "{} at second {second}", platform.all());
     }
     assert!(platform.spot() * 3 / 4 + 12 >= 112, "{:?}", platform.zones);
-    assert!(platform.zones.values().all(|count| count.ordinary <= 4), "{:?}", platform.zones);
+    assert!(platform.zones.values().all(|count| count.on_demand <= 4), "{:?}", platform.zones);
 }
 
 /// Guards against scaling down servers that are not known yet: a new lease holder knew four of 112 servers and scaled
@@ -119,7 +119,7 @@
     let all = platform.zones.clone();
     let mut sizer = Sizer::new();
     for (second, known) in [(0, 1), (1, 2), (2, 20)] {
-        let few = Count { ordinary: known, spot: 0 };
+        let few = Count { on_demand: known, spot: 0 };
         platform.zones.values_mut().for_each(|count| *count = few);
         platform.run(&mut sizer, second * SECOND, (second + 1) * SECOND, None);
         assert_eq!(platform.orders, [], "at second {second}");
@@ -154,9 +154,9 @@
     }
 }
 
-/// Ordinary servers are ordered in place of spot servers that are unavailable.
+/// On-demand servers are ordered in place of spot servers that are unavailable.
 #[test]
-fn ordinary_servers_replace_unavailable_spot_servers() {
+fn on_demand_servers_replace_unavailable_spot_servers() {
     let mut platform = Platform::new(&["a", "b"], 4);
     platform.unavailable = vec!["a".into(), "b".into()];
     let mut sizer = Sizer::new();
@@ -198,16 +198,16 @@
     assert_eq!(order.zone, "a");
 }
 
-/// A single zone has no other zone to carry its load when it loses its spot servers: half of its servers are ordinary.
+/// A single zone has no other zone to carry its load when it loses its spot servers: half of its servers are on-demand.
 #[test]
 fn a_single_zone_does_not_depend_on_spot_servers() {
     let mut platform = Platform::new(&["a"], 28);
     platform.run(&mut Sizer::new(), 0, 20 * SECOND, Some(200));
     let count = platform.zones["a"];
-    assert!(count.ordinary * SLOTS >= 150 && count.spot > 0, "{count:?}");
+    assert!(count.on_demand * SLOTS >= 150 && count.spot > 0, "{count:?}");
 }
 
-/// No spot servers are ordered if they cost as much as ordinary ones.
+/// No spot servers are ordered if they cost as much as on-demand ones.
 #[test]
 fn without_a_discount_there_are_no_spot_servers() {
     let mut sizer = Sizer::new();
@@ -216,7 +216,7 @@
     let bounds = Bounds { spot_price: 1.0, ..bounds() };
     assert_eq!(sizer.next(1, &bounds, &zones, SLOTS), None, "others may be there");
     let order = sizer.next(4 * SECOND, &bounds, &zones, SLOTS).expect("more are needed");
-    assert_eq!(order.kind, Kind::Ordinary);
+    assert_eq!(order.kind, Kind::OnDemand);
 }
 
 proptest! {
--- a/crates/drumusher/src/process/duties/autoscale.rs
+++ b/crates/drumusher/src/process/duties/autoscale.rs
@@ -80,12 +80,12 @@
         }
         match kind(backend.spot) {
             Kind::Spot => count.spot += 1,
-            Kind::Ordinary => count.ordinary += 1,
+            Kind::OnDemand => count.on_demand += 1,
         }
     }
     (zones, slots)
 }
 
 fn kind(spot: bool) -> Kind {
-    if spot { Kind::Spot } else { Kind::Ordinary }
+    if spot { Kind::Spot } else { Kind::OnDemand }
 }
--- a/crates/drumusher/src/process/duties/runner.rs
+++ b/crates/drumusher/src/process/duties/runner.rs
@@ -288,10 +288,10 @@
             "backend servers ordered: {}", word(&answer)
         );
         let outcome = match answer {
-            Ok(Verdict::Taken) => Outcome::Taken,
+            Ok(Verdict::Taken) => Outcome::Accepted,
             // If the platform compares tokens, a conflict means either an outdated token or no available servers.
-            // Ordinary servers are always available, so their conflicts are about the token.
-            Ok(Verdict::Conflict) if self.settings.fenced && order.kind == Kind::Ordinary => {
+            // On-demand servers are always available, so their conflicts are about the token.
+            Ok(Verdict::Conflict) if self.settings.fenced && order.kind == Kind::OnDemand => {
                 self.lease.token_refused(clock::now());
                 Outcome::Unknown
             }
