--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -205,7 +205,7 @@
 pub fn notices(shared: &Shared) -> Vec<Row> {
     let now = clock::now();
     let age_ms = |since: u64| now.saturating_sub(since) / MILLISECOND;
-    let rows = shared.notices.in_force(now).into_iter().map(|record| {
+    let rows = shared.notices.all_in_force(now).into_iter().map(|record| {
         let limit = record.limit.rate().map(|rate| rate.per_second());
         let rest = record.rest.filter(|(_, until)| now < *until);
         row(json!({
@@ -214,7 +214,7 @@
             "heard_by": &*shared.name,
             "limit_per_second": limit,
             "limit_age_ms": limit.map(|_| age_ms(record.limit.since())),
-            "limit_heard_ms": limit.map(|_| age_ms(record.limit.named())),
+            "limit_heard_ms": limit.map(|_| age_ms(record.limit.announced())),
             "leaving": record.leaving.is_some(),
             "leaving_age_ms": record.leaving.map(age_ms),
             "rest_age_ms": rest.map(|(since, _)| age_ms(since)),
--- a/crates/drumusher/src/process/catalog/engine_cache.rs
+++ b/crates/drumusher/src/process/catalog/engine_cache.rs
@@ -66,7 +66,8 @@
             }
         };
         let parts = parts.into_iter().map(|part| part.id).collect();
-        let input = Input::Kept { pool: pool.clone(), server: Arc::clone(&engine.name), parts };
+        let input =
+            Input::CachedParts { pool: pool.clone(), server: Arc::clone(&engine.name), parts };
         if self.shared.dispatch.try_send(input).is_err() {
             log::warn!(server = &*engine.name; "dispatch queue full; dropped the cache contents of an engine");
         }
--- a/crates/drumusher/src/process/dispatch/health.rs
+++ b/crates/drumusher/src/process/dispatch/health.rs
@@ -1,4 +1,4 @@
-//! Log lines on the health of a pool's backend servers, and on requests that it cost.
+//! Log lines on health changes of a pool's backend servers, and on requests refused in an outage.
 
 use std::sync::Arc;
 
@@ -10,46 +10,46 @@
 
 use crate::version::Pool;
 
-/// Shortest time between two lines on requests refused in an outage.
-const OUTAGE_LINES: u64 = SECOND;
+/// Minimum interval between two log lines on requests refused in an outage, in microseconds.
+const OUTAGE_LOG_INTERVAL: u64 = SECOND;
 
-/// What was logged last of a pool.
+/// The state of a pool as it was last logged.
 pub struct Log {
-    /// The health of each backend server, by key.
+    /// The logged health of each backend server, by key.
     health: Vec<Health>,
-    /// When that was looked at.
-    looked: u64,
-    /// Requests refused in an outage since the last line on it.
+    /// When the health was last compared.
+    checked_at: u64,
+    /// Requests refused in an outage since the last log line on it.
     refused: u32,
-    /// When that line was written.
+    /// When that log line was written.
     outage: u64,
 }
 
 impl Log {
-    /// Nothing was logged yet.
+    /// Creates a log that has written nothing.
     pub fn new(now: u64) -> Self {
-        Log { health: Vec::new(), looked: now, refused: 0, outage: 0 }
+        Log { health: Vec::new(), checked_at: now, refused: 0, outage: 0 }
     }
 
-    /// Counts a request refused because no backend server can be tried soon.
-    pub fn note_refused(&mut self) {
+    /// Counts a request refused because no backend server can be probed soon.
+    pub fn count_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// Writes the lines that are due. `names` are those of the backend servers, by key.
-    pub fn write(&mut self, pool: &Pool, decisions: &pool::Pool, names: &[Arc<str>], now: u64) {
-        if now < self.looked + pool::TICK {
+    /// Writes the log lines that are due. `names` holds the names of the backend servers, by key.
+    pub fn write(&mut self, pool: &Pool, scheduler: &pool::Pool, names: &[Arc<str>], now: u64) {
+        if now < self.checked_at + pool::TICK {
             return;
         }
-        self.looked = now;
-        self.write_changes(pool, decisions, names, now);
-        self.write_outage(pool, decisions, now);
+        self.checked_at = now;
+        self.write_changes(pool, scheduler, names, now);
+        self.write_outage(pool, scheduler, now);
     }
 
-    /// Logs what the decisions newly believe of the health of backend servers, with what led to it.
-    fn write_changes(&mut self, pool: &Pool, decisions: &pool::Pool, names: &[Arc<str>], now: u64) {
+    /// Logs each change of a backend server's health, with the measurements that led to it.
+    fn write_changes(&mut self, pool: &Pool, scheduler: &pool::Pool, names: &[Arc<str>], now: u64) {
         self.health.resize(names.len(), Health::Good);
-        for (key, server) in decisions.servers() {
+        for (key, server) in scheduler.servers() {
             let health = server.health();
             let before = std::mem::replace(&mut self.health[usize::from(key.0)], health);
             if before.word() == health.word() && before.down_for() == health.down_for() {
@@ -69,21 +69,21 @@
         }
     }
 
-    /// Logs how many requests were refused because no backend server can be tried soon.
-    fn write_outage(&mut self, pool: &Pool, decisions: &pool::Pool, now: u64) {
-        if self.refused == 0 || now < self.outage + OUTAGE_LINES {
+    /// Logs how many requests were refused because no backend server can be probed soon.
+    fn write_outage(&mut self, pool: &Pool, scheduler: &pool::Pool, now: u64) {
+        if self.refused == 0 || now < self.outage + OUTAGE_LOG_INTERVAL {
             return;
         }
         self.outage = now;
         let refused = std::mem::take(&mut self.refused);
-        let down = decisions.servers().filter(|(_, server)| server.health().down_for().is_some());
+        let down = scheduler.servers().filter(|(_, server)| server.health().down_for().is_some());
         log::warn!(
             pool = pool.to_string().as_str(),
             refused = refused,
-            waiting = decisions.waiting(),
+            waiting = scheduler.waiting(),
             down = down.count(),
-            next_probe_ms = decisions.outage().unwrap_or(now).saturating_sub(now) / MILLISECOND;
-            "requests refused: no backend server can be tried soon"
+            next_probe_ms = scheduler.outage().unwrap_or(now).saturating_sub(now) / MILLISECOND;
+            "requests refused: no backend server can be probed soon"
         );
     }
 }
--- a/crates/drumusher/src/process/peers.rs
+++ b/crates/drumusher/src/process/peers.rs
@@ -182,12 +182,12 @@
             let mut sends = Vec::new();
             if let broker::Input::Changed = input {
                 let directory = self.shared.directory.load_full();
-                self.inner.borrow_mut().table.adopt(directory, &mut sends);
+                self.inner.borrow_mut().table.set_directory(directory, &mut sends);
                 self.update_sources();
                 self.connect_dispatchers();
                 self.relay_to_subscribers();
             } else {
-                self.inner.borrow_mut().table.take(input, &mut sends);
+                self.inner.borrow_mut().table.handle(input, &mut sends);
             }
             self.send_all(sends);
             self.update_capacity_divisor();
@@ -197,7 +197,7 @@
     /// Delivers the answers of this instance's dispatcher to the entries that asked.
     async fn forward_replies(self, receiver: Replies) {
         while let Ok((entry, message)) = receiver.recv().await {
-            if entry == dispatch::OWN {
+            if entry == dispatch::LOCAL_ENTRY {
                 let mut sends = Vec::new();
                 let name = self.shared.name.clone();
                 self.inner.borrow_mut().table.answer(&name, message, &mut sends);
@@ -230,7 +230,7 @@
     /// Updates the divisor of this instance's capacity: the number of instances in the area while none of the
     /// others can be reached, otherwise 1.
     fn update_capacity_divisor(&self) {
-        let (listed, alone) = self.inner.borrow().table.view().alone();
+        let (listed, alone) = self.inner.borrow().table.view().isolation();
         let divisor = if alone { listed as u32 } else { 1 };
         let before = std::mem::replace(&mut self.inner.borrow_mut().capacity_divisor, divisor);
         if before == divisor {
@@ -242,6 +242,6 @@
             );
             self.shared.telemetry.count("drumusher.dispatch.alone", &[]);
         }
-        self.try_dispatch(dispatch::Input::Divide(divisor));
+        self.try_dispatch(dispatch::Input::SetDivisor(divisor));
     }
 }
--- a/crates/drumusher/src/process/peers/heartbeat.rs
+++ b/crates/drumusher/src/process/peers/heartbeat.rs
@@ -108,7 +108,7 @@
     /// Publishes which instances have been unreachable for so long that they count as lost.
     fn publish_lost(&self, now: u64) {
         let after = self.shared.settings.forget_ms * MILLISECOND;
-        let lost = self.inner.borrow().table.view().lost(now, after);
+        let lost = self.inner.borrow().table.view().unreachable_for(now, after);
         if **self.shared.lost.load() != lost {
             self.shared.lost.store(Arc::new(lost));
         }
@@ -131,11 +131,11 @@
             last = now;
             if paused {
                 self.log_pause(late);
-                self.inner.borrow_mut().table.forgive();
+                self.inner.borrow_mut().table.restart_answer_timers();
                 continue;
             }
             let mut sends = Vec::new();
-            let silent = self.inner.borrow_mut().table.silent(&mut sends);
+            let silent = self.inner.borrow_mut().table.reassign_overdue(&mut sends);
             self.send_all(sends);
             for instance in silent {
                 self.disconnect(&instance);
--- a/crates/drumusher/src/process/peers/link.rs
+++ b/crates/drumusher/src/process/peers/link.rs
@@ -16,7 +16,7 @@
 const MAX_ASKED: usize = 3;
 
 impl Peers {
-    pub(super) fn send_all(&self, sends: Vec<broker::Send>) {
+    pub(super) fn send_all(&self, sends: Vec<broker::Outgoing>) {
         for send in sends {
             self.send(&send.to, send.message);
         }
@@ -59,7 +59,7 @@
             Message::Ask(ask) => Some(ask.id.clone()),
             _ => None,
         };
-        if self.try_dispatch(dispatch::Input::Message(dispatch::OWN, Box::new(message))) {
+        if self.try_dispatch(dispatch::Input::Message(dispatch::LOCAL_ENTRY, Box::new(message))) {
             return;
         }
         if let Some(id) = id {
@@ -153,7 +153,7 @@
     pub(super) async fn retry_unreachable(self) {
         loop {
             sleep(RETRY_CHECK_INTERVAL).await;
-            let due = self.inner.borrow_mut().table.trials();
+            let due = self.inner.borrow_mut().table.due_reconnects();
             for instance in due {
                 rt::spawn(self.clone().retry(instance));
             }
--- a/crates/drumusher/src/process/peers/session.rs
+++ b/crates/drumusher/src/process/peers/session.rs
@@ -57,7 +57,7 @@
             };
             inner.conns.insert(number, conn);
             let before = inner.links.insert(instance.clone(), Link::Up(number));
-            inner.table.reachable(instance, true, &mut sends);
+            inner.table.set_reachable(instance, true, &mut sends);
             let pending = match before {
                 Some(Link::Connecting(_, pending)) => pending,
                 _ => Vec::new(),
@@ -75,7 +75,7 @@
     /// Removes a closed connection: the asks received over it are dropped, and this instance's asks are repeated
     /// over another connection if there is one.
     fn unregister(&self, number: u32, instance: &Arc<str>) {
-        let _ = self.shared.dispatch.try_send(dispatch::Input::Gone(Entry(number)));
+        let _ = self.shared.dispatch.try_send(dispatch::Input::Disconnected(Entry(number)));
         let other = {
             let mut inner = self.inner.borrow_mut();
             inner.conns.remove(&number);
@@ -98,7 +98,7 @@
         {
             let mut inner = self.inner.borrow_mut();
             inner.links.insert(instance.clone(), Link::Up(other));
-            inner.table.repeat(instance, &mut sends);
+            inner.table.resend(instance, &mut sends);
         }
         self.send_all(sends);
     }
@@ -108,7 +108,7 @@
         self.shared.telemetry.count("drumusher.peer.lost", &[]);
         log::warn!("instance {instance} cannot be reached");
         let mut sends = Vec::new();
-        self.inner.borrow_mut().table.reachable(instance, false, &mut sends);
+        self.inner.borrow_mut().table.set_reachable(instance, false, &mut sends);
         self.query_unreachable(instance);
         self.send_all(sends);
         self.update_capacity_divisor();
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -104,7 +104,7 @@
         if self.shared.reader.swap(own, Ordering::AcqRel) != own {
             log::info!(reads = own; "whether this instance reads the store for others");
         }
-        let source = self.inner.borrow().table.view().teller(clock::now());
+        let source = self.inner.borrow().table.view().assigned_reader(clock::now());
         let sources = if own { readers } else { source.into_iter().collect() };
         for reader in sources.iter().filter(|reader| **reader != self.shared.name) {
             if self.needs_subscription(reader) {
@@ -178,7 +178,7 @@
         }
         let mut inner = self.inner.borrow_mut();
         let is_source = inner.sources.contains(instance);
-        inner.table.reads(now, instance, reads || !is_source);
+        inner.table.set_store_readable(now, instance, reads || !is_source);
         if !reads && is_source && !self.shared.reader.load(Ordering::Acquire) {
             self.shared.unread.store(now, Ordering::Release);
         }
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -4,9 +4,9 @@
 
 use drumusher::{
     process::{
-        broker::{Attempt, Input, Own, Reply, Report, Send, Table, View},
+        broker::{Attempt, DispatchRequest, Input, Outgoing, Reply, Report, Table, View},
         clock,
-        notices::{Answer, Basis, Notices},
+        notices::{Answer, KnownLimit, Notices},
     },
     request::id,
     version::{Backend, Directory, Instance, Pool},
@@ -35,7 +35,7 @@
 
 fn table() -> Table {
     let mut table = Table::new(View::new("suva-0".into(), "suva".into()));
-    table.adopt(directory(&NAMES), &mut Vec::new());
+    table.set_directory(directory(&NAMES), &mut Vec::new());
     table
 }
 
@@ -43,9 +43,9 @@
     Pool::Model("draft".into())
 }
 
-fn open(table: &mut Table, id: u128) -> (Vec<Send>, async_channel::Receiver<Reply>) {
+fn open(table: &mut Table, id: u128) -> (Vec<Outgoing>, async_channel::Receiver<Reply>) {
     let (replies, receiver) = async_channel::bounded(8);
-    let own = Own {
+    let own = DispatchRequest {
         attempt: Attempt::First,
         digest: None,
         id,
@@ -65,18 +65,18 @@
         replies,
     };
     let mut sends = Vec::new();
-    table.take(Input::Open(Box::new(own)), &mut sends);
+    table.handle(Input::Open(Box::new(own)), &mut sends);
     (sends, receiver)
 }
 
-fn asked(sends: &[Send]) -> Option<(Arc<str>, peer::Ask)> {
+fn asked(sends: &[Outgoing]) -> Option<(Arc<str>, peer::Ask)> {
     sends.iter().find_map(|send| match &send.message {
         Message::Ask(ask) => Some((send.to.clone(), ask.clone())),
         _ => None,
     })
 }
 
-fn grant(table: &mut Table, from: &Arc<str>, id: u128) -> Vec<Send> {
+fn grant(table: &mut Table, from: &Arc<str>, id: u128) -> Vec<Outgoing> {
     let mut sends = Vec::new();
     let grant = peer::Grant::new(
         id::to_wire(id),
@@ -100,15 +100,16 @@
     let (sends, _replies) = open(&mut table, 1);
     let (first, _) = asked(&sends).expect("it is asked");
     let mut sends = Vec::new();
-    table.reachable(&first, false, &mut sends);
+    table.set_reachable(&first, false, &mut sends);
     let (second, ask) = asked(&sends).expect("the next is asked");
     assert_ne!(first, second);
     assert_eq!(ask.server, None);
     // Back again: it is asked again and the other is told to forget.
     let mut sends = Vec::new();
-    table.reachable(&first, true, &mut sends);
+    table.set_reachable(&first, true, &mut sends);
     assert_eq!(asked(&sends).map(|(to, _)| to), Some(first));
-    let forgets = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == second;
+    let forgets =
+        |send: &Outgoing| matches!(send.message, Message::Withdraw(_)) && send.to == second;
     assert!(sends.iter().any(forgets));
 }
 
@@ -119,9 +120,9 @@
     let (first, _) = asked(&sends).expect("it is asked");
     grant(&mut table, &first, 1);
     assert!(matches!(replies.try_recv(), Ok(Reply::Grant(_))));
-    table.take(Input::Progress(1, Report { produced: 7, ..Report::default() }), &mut Vec::new());
+    table.handle(Input::Progress(1, Report { produced: 7, ..Report::default() }), &mut Vec::new());
     let mut sends = Vec::new();
-    table.reachable(&first, false, &mut sends);
+    table.set_reachable(&first, false, &mut sends);
     let (_, ask) = asked(&sends).expect("it is declared");
     assert_eq!((ask.server.as_deref(), ask.produced), (Some("engine-1"), Some(7)));
 }
@@ -131,7 +132,7 @@
     let mut table = table();
     let (sends, replies) = open(&mut table, 1);
     let (first, _) = asked(&sends).expect("it is asked");
-    table.reachable(&first, false, &mut Vec::new());
+    table.set_reachable(&first, false, &mut Vec::new());
     grant(&mut table, &first, 1);
     assert!(replies.try_recv().is_err());
 }
@@ -163,11 +164,11 @@
 #[test]
 fn alone_an_instance_dispatches_itself_and_knows_it() {
     let mut table = table();
-    assert_eq!(table.view().alone(), (4, false));
+    assert_eq!(table.view().isolation(), (4, false));
     for name in &NAMES[1..] {
-        table.reachable(&Arc::from(*name), false, &mut Vec::new());
+        table.set_reachable(&Arc::from(*name), false, &mut Vec::new());
     }
-    assert_eq!(table.view().alone(), (4, true));
+    assert_eq!(table.view().isolation(), (4, true));
     assert_eq!(table.view().dispatcher(&pool(), "suva").as_deref(), Some("suva-0"));
     assert_eq!(table.view().dispatcher(&pool(), "nadi"), None);
 }
@@ -176,7 +177,7 @@
 fn a_stopping_instance_hands_its_role_over() {
     let mut table = table();
     for name in &NAMES[2..] {
-        table.reachable(&Arc::from(*name), false, &mut Vec::new());
+        table.set_reachable(&Arc::from(*name), false, &mut Vec::new());
     }
     table.stop(&mut Vec::new());
     assert_eq!(table.view().dispatcher(&pool(), "suva").as_deref(), Some("suva-1"));
@@ -201,10 +202,10 @@
                     sends = opened;
                     receivers.push(receiver);
                 }
-                1 if who > 0 => table.reachable(&name, false, &mut sends),
-                2 => table.reachable(&name, true, &mut sends),
-                3 if who > 0 => table.leaves(&name, true, &mut sends),
-                4 => table.leaves(&name, false, &mut sends),
+                1 if who > 0 => table.set_reachable(&name, false, &mut sends),
+                2 => table.set_reachable(&name, true, &mut sends),
+                3 if who > 0 => table.set_leaving(&name, true, &mut sends),
+                4 => table.set_leaving(&name, false, &mut sends),
                 _ => {}
             }
             for send in sends {
@@ -222,14 +223,17 @@
 #[test]
 fn an_ask_that_is_not_answered_goes_to_the_own_dispatcher() {
     let (mut table, id, first) = asked_of_another();
-    assert!(table.silent(&mut Vec::new()).is_empty(), "it has a little time");
+    assert!(table.reassign_overdue(&mut Vec::new()).is_empty(), "it has a little time");
     let mut sends = Vec::new();
-    drumusher_bench::fleet::wait_for("it is overdue", || table.silent(&mut sends).contains(&first));
+    drumusher_bench::fleet::wait_for("it is overdue", || {
+        table.reassign_overdue(&mut sends).contains(&first)
+    });
     let (to, ask) = asked(&sends).expect("it is asked again");
     assert_eq!((&*to, id::from_wire(&ask.id)), ("suva-0", Some(id)));
-    let withdrawn = |send: &Send| matches!(send.message, Message::Withdraw(_)) && send.to == first;
+    let withdrawn =
+        |send: &Outgoing| matches!(send.message, Message::Withdraw(_)) && send.to == first;
     assert!(sends.iter().any(withdrawn), "the silent one is told to forget");
-    assert!(table.silent(&mut Vec::new()).is_empty(), "the own one owes nothing");
+    assert!(table.reassign_overdue(&mut Vec::new()).is_empty(), "the own one owes nothing");
 }
 
 /// One that says that the ask waits is not passed over, and a pause of the own process is nobody's
@@ -242,13 +246,13 @@
     let (mut other, ..) = asked_of_another();
     let mut overdue = Vec::new();
     drumusher_bench::fleet::wait_for("the other ask is overdue", || {
-        other.forgive();
-        let forgiven = other.silent(&mut Vec::new()).is_empty();
+        other.restart_answer_timers();
+        let forgiven = other.reassign_overdue(&mut Vec::new()).is_empty();
         assert!(forgiven);
         overdue.push(());
         overdue.len() > 20
     });
-    assert!(table.silent(&mut Vec::new()).is_empty());
+    assert!(table.reassign_overdue(&mut Vec::new()).is_empty());
 }
 
 /// A table with an ask that another instance was asked.
@@ -260,7 +264,7 @@
         if &*first != "suva-0" {
             return (table, id, first);
         }
-        table.take(Input::Finish(id, 1, 0), &mut Vec::new());
+        table.handle(Input::Finish(id, 1, 0), &mut Vec::new());
     }
     unreachable!("one of many is asked of another instance")
 }
@@ -275,15 +279,15 @@
     let mut readers = Vec::new();
     for name in &listed {
         let mut table = Table::new(View::new((*name).into(), "suva".into()));
-        table.adopt(directory(&listed), &mut Vec::new());
+        table.set_directory(directory(&listed), &mut Vec::new());
         readers.push(table.view().readers());
-        let Some(teller) = table.view().teller(NOW) else {
+        let Some(teller) = table.view().assigned_reader(NOW) else {
             assert!(table.view().readers().iter().any(|reader| &**reader == *name));
             continue;
         };
         assert!(table.view().readers().contains(&teller));
-        table.reachable(&teller, false, &mut Vec::new());
-        assert_ne!(table.view().teller(NOW), Some(teller.clone()));
+        table.set_reachable(&teller, false, &mut Vec::new());
+        assert_ne!(table.view().assigned_reader(NOW), Some(teller.clone()));
         *told.entry(teller).or_default() += 1;
     }
     assert!(readers.windows(2).all(|pair| pair[0] == pair[1]));
@@ -297,21 +301,21 @@
 fn absent_instances_are_tried_more_and_more_rarely() {
     const SECOND: u64 = 1_000_000;
     let mut view = View::new("suva-0".into(), "suva".into());
-    view.adopt(directory(&NAMES));
+    view.set_directory(directory(&NAMES));
     let other: Arc<str> = "suva-1".into();
-    assert!(view.reachable(0, &other, false));
-    assert!(!view.reachable(SECOND, &other, false), "it is known; the time of its loss stays");
+    assert!(view.set_reachable(0, &other, false));
+    assert!(!view.set_reachable(SECOND, &other, false), "it is known; the time of its loss stays");
     let mut tried = |from: u64, to: u64| -> usize {
-        (from * 10..to * 10).map(|tenth| view.trials(tenth * SECOND / 10).len()).sum()
+        (from * 10..to * 10).map(|tenth| view.due_reconnects(tenth * SECOND / 10).len()).sum()
     };
     assert_eq!(tried(0, 3), 7, "each 0.4 s");
     assert!((20..=40).contains(&tried(3, 120)));
     assert_eq!(tried(1_000, 1_060), 4, "each 15 s");
-    assert_eq!(view.lost(600 * SECOND, 600 * SECOND), []);
-    assert_eq!(view.lost(601 * SECOND, 600 * SECOND), std::slice::from_ref(&other));
-    assert!(view.reachable(602 * SECOND, &other, true));
-    assert_eq!(view.lost(9_999 * SECOND, 600 * SECOND), []);
-    assert_eq!(view.trials(9_999 * SECOND), []);
+    assert_eq!(view.unreachable_for(600 * SECOND, 600 * SECOND), []);
+    assert_eq!(view.unreachable_for(601 * SECOND, 600 * SECOND), std::slice::from_ref(&other));
+    assert!(view.set_reachable(602 * SECOND, &other, true));
+    assert_eq!(view.unreachable_for(9_999 * SECOND, 600 * SECOND), []);
+    assert_eq!(view.due_reconnects(9_999 * SECOND), []);
 }
 
 /// An instance that starts among few others, or before it knows of any, as all do at the first start of a
@@ -320,13 +324,13 @@
 fn an_instance_that_is_not_listed_reads_for_nobody() {
     let mut view = View::new("suva-9".into(), "suva".into());
     assert!(view.readers().is_empty());
-    view.adopt(directory(&NAMES[..2]));
+    view.set_directory(directory(&NAMES[..2]));
     assert_eq!(view.readers().len(), 2);
-    assert!(view.teller(NOW).is_some());
-    view.adopt(directory(&["suva-0", "suva-1", "suva-9"]));
+    assert!(view.assigned_reader(NOW).is_some());
+    view.set_directory(directory(&["suva-0", "suva-1", "suva-9"]));
     assert_eq!(view.readers().len(), 3);
     for name in &NAMES[..2] {
-        view.reachable(0, &Arc::from(*name), false);
+        view.set_reachable(0, &Arc::from(*name), false);
     }
     assert_eq!(view.readers(), [Arc::from("suva-9")], "nobody else can be reached");
 }
@@ -338,16 +342,16 @@
     let names: Vec<String> = (0..40).map(|number| format!("suva-{number}")).collect();
     let listed: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut view = View::new("suva-none".into(), "suva".into());
-    view.adopt(directory(&listed));
-    let first = view.teller(NOW).expect("a teller");
-    view.reads(NOW, &first, false);
-    let second = view.teller(NOW).expect("another teller");
+    view.set_directory(directory(&listed));
+    let first = view.assigned_reader(NOW).expect("a teller");
+    view.set_store_readable(NOW, &first, false);
+    let second = view.assigned_reader(NOW).expect("another teller");
     assert_ne!(second, first);
-    assert_eq!(view.teller(NOW + 10_000_000).as_ref(), Some(&first), "it is asked again");
-    view.reads(NOW, &first, true);
-    assert_eq!(view.teller(NOW).as_ref(), Some(&first));
-    view.readers().iter().for_each(|reader| view.reads(NOW, reader, false));
-    assert_eq!(view.teller(NOW), Some(first));
+    assert_eq!(view.assigned_reader(NOW + 10_000_000).as_ref(), Some(&first), "it is asked again");
+    view.set_store_readable(NOW, &first, true);
+    assert_eq!(view.assigned_reader(NOW).as_ref(), Some(&first));
+    view.readers().iter().for_each(|reader| view.set_store_readable(NOW, reader, false));
+    assert_eq!(view.assigned_reader(NOW), Some(first));
 }
 
 /// What a backend server said is brought to a dispatcher with the first ask that it gets, and told at once to the one that
@@ -367,10 +371,10 @@
         spot: false,
     };
     let notice = Notice { leaving: true, ..Notice::default() };
-    let (pool, basis) = (pool(), Basis::default());
-    let answer = Answer { pool: &pool, server: &server, sent: 0, basis, notice: &notice };
-    let record = notices.hear(clock::now(), &answer).expect("it is new");
-    let brought = |sends: &[Send]| {
+    let (pool, known_limit) = (pool(), KnownLimit::default());
+    let answer = Answer { pool: &pool, server: &server, sent: 0, known_limit, notice: &notice };
+    let record = notices.record_answer(clock::now(), &answer).expect("it is new");
+    let brought = |sends: &[Outgoing]| {
         let (to, ask) = asked(sends).expect("it is asked");
         (to, ask.notices.iter().flatten().map(|notice| notice.server.clone()).collect::<Vec<_>>())
     };
@@ -381,10 +385,10 @@
     let (sends, _replies) = open(&mut table, 2);
     assert_eq!(brought(&sends), (first.clone(), Vec::new()), "it knows");
     let mut sends = Vec::new();
-    table.take(Input::Notice(Box::new(record)), &mut sends);
-    assert!(matches!(&sends[..], [Send { to, message: Message::Notice(_) }] if *to == first));
+    table.handle(Input::Notice(Box::new(record)), &mut sends);
+    assert!(matches!(&sends[..], [Outgoing { to, message: Message::Notice(_) }] if *to == first));
     let mut sends = Vec::new();
-    table.reachable(&first, false, &mut sends);
+    table.set_reachable(&first, false, &mut sends);
     let (second, names) = brought(&sends);
     assert_ne!(second, first);
     assert_eq!(names, ["engine-1"]);
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Instant};
 
 use drumusher::{
-    process::notices::{Answer, Basis, Limit, Notices, Record, Withheld},
+    process::notices::{Answer, KnownLimit, Limit, Notices, Record, Withheld},
     version::{Backend, Directory, Pool},
 };
 use drumusher_platform::dialect::{Notice, Rate};
@@ -13,9 +13,9 @@
 /// A moment of the process's clock.
 const NOW: Micros = 1_000 * SECOND;
 /// A grant of a dispatcher that knows nothing.
-const UNAWARE: Basis = Basis { limited: false, lifted: None };
+const UNAWARE: KnownLimit = KnownLimit { limited: false, lifted: None };
 /// One that is counted among those that a limit allows.
-const COUNTED: Basis = Basis { limited: true, lifted: None };
+const COUNTED: KnownLimit = KnownLimit { limited: true, lifted: None };
 
 fn pool() -> Pool {
     Pool::Service("desk".into())
@@ -56,14 +56,19 @@
     notices: &Notices,
     at: Micros,
     server: &Backend,
-    (sent, basis): (Micros, Basis),
+    (sent, known_limit): (Micros, KnownLimit),
     notice: Notice,
 ) -> Option<Record> {
-    notices.hear(at, &Answer { pool: &pool(), server, sent, basis, notice: &notice })
+    notices.record_answer(at, &Answer { pool: &pool(), server, sent, known_limit, notice: &notice })
 }
 
-fn why(notices: &Notices, at: Micros, server: &Backend, basis: Basis) -> Option<Withheld> {
-    notices.withheld(at, server, basis).map(|(why, _)| why)
+fn why(
+    notices: &Notices,
+    at: Micros,
+    server: &Backend,
+    known_limit: KnownLimit,
+) -> Option<Withheld> {
+    notices.withheld(at, server, known_limit).map(|(why, _)| why)
 }
 
 /// An answer that says nothing leaves nothing behind.
@@ -71,7 +76,7 @@
 fn silence_is_not_kept() {
     let notices = Notices::default();
     assert!(hear(&notices, NOW, &server("a", None), Notice::default()).is_none());
-    assert!(notices.in_force(NOW).is_empty());
+    assert!(notices.all_in_force(NOW).is_empty());
     assert_eq!(why(&notices, NOW, &server("a", None), UNAWARE), None);
 }
 
@@ -97,7 +102,7 @@
     notices.keep_listed(NOW + 60 * SECOND, &Directory::default());
     assert_eq!(why(&notices, NOW + 60 * SECOND, &server, UNAWARE), Some(Withheld::Leaving));
     notices.keep_listed(NOW + 3_600 * SECOND, &Directory::default());
-    assert!(notices.in_force(NOW).is_empty(), "and forgotten when it has been gone for long");
+    assert!(notices.all_in_force(NOW).is_empty(), "and forgotten when it has been gone for long");
 }
 
 /// A rest holds for its time, and of two ends the later one.
@@ -127,11 +132,11 @@
     hear(&notices, NOW, &server, limit(1_400));
     assert_eq!(why(&notices, NOW, &server, UNAWARE), Some(Withheld::Limited));
     assert_eq!(why(&notices, NOW, &server, COUNTED), None);
-    let before = Basis { limited: false, lifted: Some(NOW - SECOND) };
+    let before = KnownLimit { limited: false, lifted: Some(NOW - SECOND) };
     assert_eq!(why(&notices, NOW, &server, before), Some(Withheld::Limited));
-    let after = Basis { limited: false, lifted: Some(NOW + 2 * SECOND) };
+    let after = KnownLimit { limited: false, lifted: Some(NOW + 2 * SECOND) };
     assert_eq!(why(&notices, NOW + 3 * SECOND, &server, after), None);
-    assert!(notices.in_force(NOW + 3 * SECOND).is_empty(), "it is known here from now on");
+    assert!(notices.all_in_force(NOW + 3 * SECOND).is_empty(), "it is known here from now on");
 }
 
 /// An answer without a limit lifts it, unless its request was sent before or just after the limit was named: answers
@@ -175,10 +180,10 @@
     for number in 0..20_000 {
         hear(&notices, NOW + number, &server(&format!("s{number}"), None), leaving());
     }
-    let known = notices.of(NOW, &pool());
+    let known = notices.in_force_for(NOW, &pool());
     assert!(known.len() <= 8_192, "{}", known.len());
     assert!(notices.leaves(&server("s19999", None)));
-    assert!(notices.of(NOW, &Pool::Service(Arc::from("other"))).is_empty());
+    assert!(notices.in_force_for(NOW, &Pool::Service(Arc::from("other"))).is_empty());
 }
 
 /// Two limits as two instances know them, told in any order, end as the later word has it.
@@ -192,13 +197,13 @@
         words.reverse();
     }
     for (at, rate) in words {
-        known.name(at, rate);
+        known.announce(at, rate);
     }
     assert_eq!(known.rate(), Some(Rate(2_000)));
     assert!(known.lift(NOW + 3 * SECOND));
-    assert!(!known.name(NOW + 2 * SECOND, Rate(500)), "it was heard before the end");
+    assert!(!known.announce(NOW + 2 * SECOND, Rate(500)), "it was heard before the end");
     assert_eq!(known.rate(), None);
-    assert!(known.name(NOW + 4 * SECOND, Rate(500)));
+    assert!(known.announce(NOW + 4 * SECOND, Rate(500)));
 }
 
 /// What hearing and looking cost where no server says anything and where a thousand do. Prints the figures; for ones that
