--- a/crates/drumusher-platform/src/catalog.rs
+++ b/crates/drumusher-platform/src/catalog.rs
@@ -61,7 +61,7 @@
     /// Records in their order, and the position from which to read on.
     Records(Vec<Record>, Position),
     /// The records from that position on are not there, or the store came back from a copy: the whole table is to be read.
-    Dropped,
+    ResyncRequired,
 }
 
 /// The store, and how its values are to be understood.
--- a/crates/drumusher/src/process/catalog/follow.rs
+++ b/crates/drumusher/src/process/catalog/follow.rs
@@ -215,7 +215,7 @@
         let changes = self.store.changes(table, from, wait).await?;
         self.answered(from.era);
         match changes {
-            Changes::Dropped => Ok(Read::Dropped),
+            Changes::ResyncRequired => Ok(Read::Dropped),
             Changes::Records(records, _) if records.is_empty() => Ok(Read::Unchanged),
             Changes::Records(records, end) => {
                 self.saw(table, end);
