--- a/crates/drumusher-platform/src/duty.rs
+++ b/crates/drumusher-platform/src/duty.rs
@@ -45,13 +45,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It took it.
-    Taken,
+    Accepted,
     /// It will not, as things stand: another has the duty, or there are no such servers to be had.
     Conflict,
     /// Not now: too many calls, or it cannot.
-    Later(u16),
+    Retry(u16),
     /// It does not understand the call; sent again it fares no better.
-    Wrong(u16),
+    Rejected(u16),
 }
 
 /// An order of backend servers.
--- a/crates/drumusher/src/process/duties/hold.rs
+++ b/crates/drumusher/src/process/duties/hold.rs
@@ -259,9 +259,9 @@
         );
         match answer {
             // Sent again a call that is not understood fares no better, and the others are to come.
-            Ok(Verdict::Taken | Verdict::Wrong(_)) => self.wish = Some(usage.taken()),
+            Ok(Verdict::Accepted | Verdict::Rejected(_)) => self.wish = Some(usage.taken()),
             Ok(Verdict::Conflict) => self.lease.refused(clock::now()),
-            Ok(Verdict::Later(_)) | Err(_) => {}
+            Ok(Verdict::Retry(_)) | Err(_) => {}
         }
         true
     }
@@ -284,7 +284,7 @@
             "backend servers ordered: {}", word(&answer)
         );
         let outcome = match answer {
-            Ok(Verdict::Taken) => Outcome::Taken,
+            Ok(Verdict::Accepted) => Outcome::Taken,
             // Where the platform compares tokens nothing tells the two conflicts apart but the kind: there are
             // always ordinary servers to be had.
             Ok(Verdict::Conflict) if self.settings.fenced && order.kind == Kind::Ordinary => {
@@ -292,7 +292,7 @@
                 Outcome::Unknown
             }
             Ok(Verdict::Conflict) => Outcome::Dry,
-            Ok(Verdict::Later(_) | Verdict::Wrong(_)) | Err(_) => Outcome::Unknown,
+            Ok(Verdict::Retry(_) | Verdict::Rejected(_)) | Err(_) => Outcome::Unknown,
         };
         self.acted(&answer);
         self.orders.ended(clock::now(), &service, &order, outcome);
@@ -308,7 +308,7 @@
         let now = clock::now();
         self.lease.acted(now);
         self.shared.telemetry.count("drumusher.duty.calls", &[("answer", word(answer))]);
-        let failed = matches!(answer, Err(_) | Ok(Verdict::Later(_)));
+        let failed = matches!(answer, Err(_) | Ok(Verdict::Retry(_)));
         self.pause = match failed {
             true => (self.pause * 2).clamp(RETRY_FIRST, RETRY_MOST),
             false => 0,
@@ -335,10 +335,10 @@
 /// A word for the answer to a call, in logs and metrics.
 fn word(answer: &Result<Verdict, Error>) -> &'static str {
     match answer {
-        Ok(Verdict::Taken) => "taken",
+        Ok(Verdict::Accepted) => "taken",
         Ok(Verdict::Conflict) => "conflict",
-        Ok(Verdict::Later(_)) => "later",
-        Ok(Verdict::Wrong(_)) => "wrong",
+        Ok(Verdict::Retry(_)) => "later",
+        Ok(Verdict::Rejected(_)) => "wrong",
         Err(Error::Unreachable) => "not sent",
         Err(_) => "no answer",
     }
