--- a/crates/drumusher-platform/src/duty.rs
+++ b/crates/drumusher-platform/src/duty.rs
@@ -18,7 +18,7 @@
 
 /// What instances told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Published {
     /// In the order in which it came.
     pub values: Vec<String>,
     /// The position from which to read on.
@@ -27,7 +27,7 @@
     pub more: bool,
     /// Whether it begins before the position that was asked for, since that is not there any more: some of it may have
     /// been read before.
-    pub again: bool,
+    pub overlaps: bool,
 }
 
 /// Who makes a call of a duty.
@@ -90,14 +90,14 @@
     /// # Errors
     ///
     /// Any [`Error`]; it may have been told then.
-    fn tell(&self, value: &str) -> impl Future<Output = Result<(), Error>>;
+    fn publish(&self, value: &str) -> impl Future<Output = Result<(), Error>>;
 
     /// Reads what instances told from a position on, or from the oldest that is kept.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
-    fn told(&self, from: Position) -> impl Future<Output = Result<Told, Error>>;
+    fn read_published(&self, from: Position) -> impl Future<Output = Result<Published, Error>>;
 
     /// Reports what each workspace used in a window.
     ///
--- a/crates/drumusher/src/process/duties/hold.rs
+++ b/crates/drumusher/src/process/duties/hold.rs
@@ -193,15 +193,15 @@
     /// Reads what others told.
     async fn read(&mut self) {
         let asked_ms = clock::steady_unix_ms();
-        match self.platform.told(self.from).await {
+        match self.platform.read_published(self.from).await {
             Ok(told) => {
                 self.from = told.next;
-                if told.again {
+                if told.overlaps {
                     log::info!(from:% = told.next, values = told.values.len(); "what instances counted is read again");
                     // Others may have to tell again what the store lost.
                     self.read = None;
                 }
-                told.values.iter().for_each(|value| self.take(value, told.again));
+                told.values.iter().for_each(|value| self.take(value, told.overlaps));
                 if told.more {
                     // A window is not reported by a part of what was told.
                     self.read_at = 0;
--- a/crates/drumusher/src/process/duties/tell.rs
+++ b/crates/drumusher/src/process/duties/tell.rs
@@ -44,7 +44,7 @@
 
 async fn tell<S: duty::Duties>(shared: &Shared, platform: &S, told: &Told) {
     let value = serde_json::to_string(told).expect("texts and numbers can be written");
-    if let Err(error) = platform.tell(&value).await {
+    if let Err(error) = platform.publish(&value).await {
         shared.tally().untold(told);
         shared.telemetry.count("drumusher.duty.untold", &[]);
         log::debug!("what was counted could not be told: {error}");
