--- a/crates/drumusher/src/process/catalog/follow.rs
+++ b/crates/drumusher/src/process/catalog/follow.rs
@@ -149,7 +149,7 @@
         if shared.reader.load(Ordering::Acquire) {
             return false;
         }
-        let told = shared.told.load(Ordering::Acquire);
+        let told = shared.store_reader_seen.load(Ordering::Acquire);
         let starting = now < self.began + START;
         starting && self.others_are_listed() || now < told + TOLD_WITHIN
     }
@@ -260,8 +260,8 @@
 
     /// Whether the latest word of those who read the store for this instance was that they get no answers.
     fn is_suspected(&self) -> bool {
-        let unread = self.shared.unread.load(Ordering::Acquire);
-        unread > 0 && unread >= self.shared.told.load(Ordering::Acquire)
+        let unread = self.shared.store_outage_reported.load(Ordering::Acquire);
+        unread > 0 && unread >= self.shared.store_reader_seen.load(Ordering::Acquire)
     }
 
     /// Others tell what they read, so that this instance makes no calls.
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -168,13 +168,13 @@
     fn reads_heard(&self, instance: &Arc<str>, reads: bool) {
         let now = clock::now();
         if reads {
-            self.shared.told.store(now, Ordering::Release);
+            self.shared.store_reader_seen.store(now, Ordering::Release);
         }
         let mut inner = self.inner.borrow_mut();
         let is_teller = inner.tellers.contains(instance);
         inner.table.reads(now, instance, reads || !is_teller);
         if !reads && is_teller && !self.shared.reader.load(Ordering::Acquire) {
-            self.shared.unread.store(now, Ordering::Release);
+            self.shared.store_outage_reported.store(now, Ordering::Release);
         }
     }
 
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -60,9 +60,9 @@
     /// Whether it is the first of them.
     pub first_reader: AtomicBool,
     /// When another instance last told that it reads the store.
-    pub told: AtomicU64,
+    pub store_reader_seen: AtomicU64,
     /// When one that is to tell this instance last said that it gets no answers of the store.
-    pub unread: AtomicU64,
+    pub store_outage_reported: AtomicU64,
     /// Whether the store did not answer the latest call.
     pub store_away: AtomicBool,
     /// The latest era of the store that is known; 0 before one is.
@@ -136,8 +136,8 @@
             notices: Arc::default(),
             reader: AtomicBool::new(false),
             first_reader: AtomicBool::new(false),
-            told: AtomicU64::new(0),
-            unread: AtomicU64::new(0),
+            store_reader_seen: AtomicU64::new(0),
+            store_outage_reported: AtomicU64::new(0),
             store_away: AtomicBool::new(true),
             store_era: AtomicU64::new(0),
             confirmed: Mutex::default(),
