--- a/crates/drumusher/src/process/catalog/follow.rs
+++ b/crates/drumusher/src/process/catalog/follow.rs
@@ -232,7 +232,7 @@
     /// How long the store may wait for a change. While it is away calls are short, so that its
     /// return is seen soon and no call hangs beyond it.
     fn wait_ms(&self, table: Table) -> u64 {
-        let away = self.shared.store_away.load(Ordering::Acquire);
+        let away = self.shared.store_unavailable.load(Ordering::Acquire);
         let first = self.shared.first_reader.load(Ordering::Acquire);
         match &self.shared.settings.store {
             Some(_) if !away && waits_long(table) => WAIT_LONG,
@@ -255,7 +255,7 @@
         if self.state.borrow_mut().entries.sight_mut().answered(clock::now(), suspected) {
             log::info!(suspected = suspected; "the store answers again");
         }
-        self.shared.store_away.store(false, Ordering::Release);
+        self.shared.store_unavailable.store(false, Ordering::Release);
     }
 
     /// Whether the latest word of those who read the store for this instance was that they get no answers.
@@ -284,7 +284,7 @@
         };
         // Short calls find out. Until one is answered this instance does not say that it reads the store: four of nine
         // that did so for all, and were turned away in silence, went on saying it for 1.7 s more.
-        self.shared.store_away.store(true, Ordering::Release);
+        self.shared.store_unavailable.store(true, Ordering::Release);
         if !tells {
             log::info!(table = table.word(), lasted_ms = lasted; "the store {error} to a long call");
         } else if !was_away {
--- a/crates/drumusher/src/process/catalog/membership.rs
+++ b/crates/drumusher/src/process/catalog/membership.rs
@@ -174,7 +174,7 @@
     loop {
         sleep(ENTRY_LOOK).await;
         let shared = &catalog.shared;
-        let away = shared.store_away.load(Ordering::Acquire);
+        let away = shared.store_unavailable.load(Ordering::Acquire);
         let lost = shared.lost.load_full();
         if away || lost.is_empty() || !shared.first_reader.load(Ordering::Acquire) {
             continue;
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -67,7 +67,7 @@
 
     /// Whether this instance reads the store and gets answers.
     pub(super) fn reads(&self) -> bool {
-        let away = self.shared.store_away.load(Ordering::Acquire);
+        let away = self.shared.store_unavailable.load(Ordering::Acquire);
         self.shared.reader.load(Ordering::Acquire) && !away
     }
 
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -64,7 +64,7 @@
     /// When one that is to tell this instance last said that it gets no answers of the store.
     pub store_outage_reported: AtomicU64,
     /// Whether the store did not answer the latest call.
-    pub store_away: AtomicBool,
+    pub store_unavailable: AtomicBool,
     /// The latest era of the store that is known; 0 before one is.
     store_era: AtomicU64,
     /// The position in the table of servers before which ends of entries are no lapses.
@@ -138,7 +138,7 @@
             first_reader: AtomicBool::new(false),
             store_reader_seen: AtomicU64::new(0),
             store_outage_reported: AtomicU64::new(0),
-            store_away: AtomicBool::new(true),
+            store_unavailable: AtomicBool::new(true),
             store_era: AtomicU64::new(0),
             confirmed: Mutex::default(),
             directory: ArcSwap::from_pointee(Directory::default()),
