--- a/crates/drumusher/src/operator/command.rs
+++ b/crates/drumusher/src/operator/command.rs
@@ -67,7 +67,7 @@
     let Some(digest) = digest.filter(|digest| shared.quarantine().clear(*digest)) else {
         return vec![rows::row(json!({"answer": "invalid", "reason": "no such request is known"}))];
     };
-    shared.note_held();
+    shared.update_held_count();
     let told = shared.platform.try_send(Input::Quarantine(vec![digest])).is_ok();
     let answer = if told { "accepted" } else { "unknown" };
     vec![rows::row(json!({"answer": answer, "request": text}))]
--- a/crates/drumusher/src/process/catalog/quarantine.rs
+++ b/crates/drumusher/src/process/catalog/quarantine.rs
@@ -66,7 +66,7 @@
         }
         self.shared.telemetry.gauge("drumusher.quarantine.known", table.len() as u64);
         drop(table);
-        self.shared.note_held();
+        self.shared.update_held_count();
     }
 
     /// Requests of which more is known here than the store has.
@@ -150,7 +150,7 @@
             over.iter().for_each(|digest| table.remove(*digest));
             over
         };
-        catalog.shared.note_held();
+        catalog.shared.update_held_count();
         catalog.quarantine(over);
     }
 }
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -106,7 +106,7 @@
     fn clear(&mut self, digest: Digest) {
         if self.shared.quarantine().clear(digest) {
             self.tell_store(digest);
-            self.shared.note_held();
+            self.shared.update_held_count();
         }
     }
 
@@ -122,7 +122,7 @@
         if self.shared.quarantine().note(digest, end(crash, alone)) {
             self.shared.telemetry.count("drumusher.quarantine.ends", &[]);
             self.log_suspect(digest, crash, alone);
-            self.shared.note_held();
+            self.shared.update_held_count();
             self.tell_store(digest);
         }
     }
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -248,13 +248,13 @@
         self.tally.lock().expect("no holder panics")
     }
 
-    /// What is known of requests that end backend servers. After a change [`Shared::note_held`] is to be called.
+    /// What is known of requests that end backend servers. After a change [`Shared::update_held_count`] is to be called.
     pub fn quarantine(&self) -> MutexGuard<'_, quarantine::Table> {
         self.quarantine.lock().expect("no holder panics")
     }
 
     /// Notes how many requests are held back, and says so if that changed.
-    pub fn note_held(&self) {
+    pub fn update_held_count(&self) {
         let held = self.quarantine().held();
         if self.held.swap(held, Ordering::AcqRel) != held {
             log::warn!(held = held; "requests are held back, since backend servers ended each time they ran");
