--- a/crates/drumusher/src/process/catalog.rs
+++ b/crates/drumusher/src/process/catalog.rs
@@ -123,7 +123,7 @@
     while let Ok(input) = receiver.recv().await {
         match input {
             platform::Input::State(teller, snapshot) => catalog.offered(&teller, &snapshot),
-            platform::Input::Enter(name, entry) => catalog.enter(name, entry),
+            platform::Input::Register(name, entry) => catalog.enter(name, entry),
             platform::Input::Quarantine(digests) => catalog.quarantine(digests),
             // The others come only where there is a log service in place of a store.
             _ => {}
--- a/crates/drumusher/src/process/catalog/membership.rs
+++ b/crates/drumusher/src/process/catalog/membership.rs
@@ -131,7 +131,7 @@
     let mut backoff = Backoff::new();
     let mut missing = None;
     loop {
-        if shared.is_entered() || shared.stopping() {
+        if shared.is_registered() || shared.stopping() {
             missing = None;
             sleep(ENTRY_LOOK).await;
             continue;
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -74,7 +74,7 @@
     /// The own entry, while it is not known to be in the store; `None` without a store.
     pub(super) fn missing_entry(&self) -> Option<String> {
         self.shared.settings.store.as_ref()?;
-        (!self.shared.is_entered()).then(|| self.shared.entry.clone())
+        (!self.shared.is_registered()).then(|| self.shared.entry.clone())
     }
 
     /// Another instance is not listed as far as it knows: as one that reads the store, this one enters
@@ -84,7 +84,7 @@
         if known || !self.reads() {
             return;
         }
-        let input = platform::Input::Enter(instance.into(), entry.into());
+        let input = platform::Input::Register(instance.into(), entry.into());
         if self.shared.platform.try_send(input).is_err() {
             log::warn!(instance = instance; "too busy to enter an instance; it asks again");
         }
--- a/crates/drumusher/src/process/platform/mod.rs
+++ b/crates/drumusher/src/process/platform/mod.rs
@@ -54,7 +54,7 @@
     /// The configuration state of another instance, after its name.
     State(Arc<str>, Vec<u8>),
     /// Another instance wants to be entered in the store: its name and its entry.
-    Enter(String, String),
+    Register(String, String),
     /// What is known of requests that end backend servers changed: the store is to be told.
     Quarantine(Vec<Digest>),
 }
@@ -120,6 +120,6 @@
         Input::Records(records) => configuration::relayed(context, records),
         Input::State(_, snapshot) => configuration::offered(context, &snapshot),
         // Only with a store, whose tasks take the other end of this ring.
-        Input::Enter(..) | Input::Quarantine(_) => {}
+        Input::Register(..) | Input::Quarantine(_) => {}
     }
 }
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -297,7 +297,7 @@
     }
 
     /// Whether this instance is known to be listed in the store as it is.
-    pub fn is_entered(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         let records = self.records();
         records.value(Table::Instances, &self.name) == Some(self.entry.as_str())
     }
