--- a/crates/drumusher/src/process/platform/claims.rs
+++ b/crates/drumusher/src/process/platform/claims.rs
@@ -32,7 +32,7 @@
     /// Another claim was first.
     Lost(Box<Claim>),
     /// The log did not confirm it in time: do not hand over.
-    Away,
+    Unconfirmed,
 }
 
 struct Waiting {
@@ -64,7 +64,7 @@
         let claimed = match self.index.get(key) {
             Some(claim) if claim.attempt == attempt => Claimed::Won,
             Some(claim) => Claimed::Lost(Box::new(claim.clone())),
-            None => Claimed::Away,
+            None => Claimed::Unconfirmed,
         };
         let _ = waiting.reply.try_send(claimed);
     }
@@ -97,7 +97,7 @@
     let instance = context.shared.name.to_string();
     let record = Record::Claim { key, attempt, instance, request };
     if !push(context, &record) {
-        let _ = reply.try_send(Claimed::Away);
+        let _ = reply.try_send(Claimed::Unconfirmed);
         return;
     }
     context.claims.borrow_mut().waiting.insert(attempt, Waiting { key, reply });
@@ -111,7 +111,7 @@
     sleep(Millis(longest as u32)).await;
     let waiting = context.claims.borrow_mut().waiting.remove(&attempt);
     if let Some(waiting) = waiting {
-        let _ = waiting.reply.try_send(Claimed::Away);
+        let _ = waiting.reply.try_send(Claimed::Unconfirmed);
         release(&context, waiting.key, attempt);
     }
 }
--- a/crates/drumusher/src/request/claim.rs
+++ b/crates/drumusher/src/request/claim.rs
@@ -83,7 +83,7 @@
             claim.handed_over = true;
             lost(shared, &other, request).map(Obtained::Answer)
         }
-        Ok(Ok(Claimed::Away)) | Ok(Err(_)) | Err(_) => {
+        Ok(Ok(Claimed::Unconfirmed)) | Ok(Err(_)) | Err(_) => {
             let message = "the platform's log, without which the request may not run, is away";
             Err(Error::new(Kind::LogAway, message).with_retry_after(AGAIN_MS))
         }
