--- a/crates/drumusher-platform/src/engine.rs
+++ b/crates/drumusher-platform/src/engine.rs
@@ -9,5 +9,5 @@
     /// # Errors
     ///
     /// Any [`Error`].
-    fn kept(&self, address: &str) -> impl Future<Output = Result<Vec<Part>, Error>>;
+    fn cached_parts(&self, address: &str) -> impl Future<Output = Result<Vec<Part>, Error>>;
 }
--- a/crates/drumusher/src/process/catalog/kept.rs
+++ b/crates/drumusher/src/process/catalog/kept.rs
@@ -55,7 +55,7 @@
     }
 
     async fn ask_engine(&self, pool: &Pool, engine: &Backend) {
-        let parts = match self.store.kept(&engine.address).await {
+        let parts = match self.store.cached_parts(&engine.address).await {
             Ok(parts) => parts,
             Err(error) => {
                 log::info!(server = &*engine.name; "what an engine keeps is not known: it {error}");
