--- a/crates/drumusher-wire/src/auth.rs
+++ b/crates/drumusher-wire/src/auth.rs
@@ -4,7 +4,7 @@
 use sha2::Sha256;
 
 /// Length of a nonce in bytes.
-pub const NONCE: usize = 16;
+pub const NONCE_BYTES: usize = 16;
 
 /// Which side of a connection proves itself. Keeps one side's proof from serving as the other's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/drumusher/src/connection/handshake.rs
+++ b/crates/drumusher/src/connection/handshake.rs
@@ -104,5 +104,5 @@
 }
 
 fn nonce() -> Vec<u8> {
-    rand::random::<[u8; auth::NONCE]>().to_vec()
+    rand::random::<[u8; auth::NONCE_BYTES]>().to_vec()
 }
