--- a/crates/drumusher-platform/src/dialect.rs
+++ b/crates/drumusher-platform/src/dialect.rs
@@ -76,7 +76,7 @@
     /// For how many milliseconds it wants no request from the instance that it answers.
     pub rest_ms: Option<u64>,
     /// Whether some of it could not be read: then its silence on a limit says nothing.
-    pub unclear: bool,
+    pub malformed: bool,
 }
 
 /// What a backend server's head says about the answer.
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -249,11 +249,11 @@
         if let Some(rest) = notice.rest_ms.filter(|rest| *rest > 0) {
             changed |= self.take_rest(now, now + rest * MILLISECOND);
         }
-        if notice.unclear && !std::mem::replace(&mut self.unclear, true) {
+        if notice.malformed && !std::mem::replace(&mut self.unclear, true) {
             self.log("a backend server says of itself what cannot be read");
         }
         // Others may have heard a limit of which this instance knows nothing: they are told that it was not named.
-        let is_named = notice.limit.is_some() || answer.basis.limited && !notice.unclear;
+        let is_named = notice.limit.is_some() || answer.basis.limited && !notice.malformed;
         let due = is_named && now >= self.told + TOLD_EVERY;
         if changed || due {
             self.told = now;
@@ -264,7 +264,7 @@
     fn take_limit(&mut self, now: Micros, sent: Micros, notice: &Notice) -> bool {
         let changed = match notice.limit {
             Some(rate) => self.limit.name(now, rate),
-            None if notice.unclear => false,
+            None if notice.malformed => false,
             None => self.limit.lift(sent),
         };
         match self.limit.rate() {
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -140,7 +140,7 @@
 #[case(Notice::default(), NOW - SECOND, false)]
 #[case(Notice::default(), NOW + 500 * MILLISECOND, false)]
 #[case(Notice::default(), NOW + 1_500 * MILLISECOND, true)]
-#[case(Notice { unclear: true, ..Notice::default() }, NOW + 1_500 * MILLISECOND, false)]
+#[case(Notice { malformed: true, ..Notice::default() }, NOW + 1_500 * MILLISECOND, false)]
 fn what_lifts_a_limit(#[case] notice: Notice, #[case] sent: Micros, #[case] lifted: bool) {
     let (notices, server) = (Notices::default(), server("a", None));
     hear(&notices, NOW, &server, limit(0));
