--- a/crates/drumusher-platform/src/routing.rs
+++ b/crates/drumusher-platform/src/routing.rs
@@ -141,7 +141,7 @@
     pub leaving: bool,
     /// When it started, in Unix milliseconds by its own clock, if it tells that. One that starts again may keep
     /// its identity; it then holds and knows nothing of before.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Whether it may be taken away, with a short notice.
     pub spot: bool,
 }
--- a/crates/drumusher/src/process/broker/crash.rs
+++ b/crates/drumusher/src/process/broker/crash.rs
@@ -32,7 +32,7 @@
     /// The backend server.
     pub server: Arc<str>,
     /// When that had started, in Unix milliseconds, if it is known.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Whether the request was on trial there, apart from others.
     pub alone: bool,
     /// Its workspace.
@@ -92,7 +92,7 @@
         pool: crash.pool.to_string(),
         digest: crash.digest.to_wire(),
         server: crash.server.to_string(),
-        born: crash.born_ms.map(|born| born as i64),
+        born: crash.started_ms.map(|born| born as i64),
         alone: crash.alone.then_some(true),
         workspace: crash.workspace.to_string(),
         route: crash.route.to_string(),
--- a/crates/drumusher/src/process/broker/wire.rs
+++ b/crates/drumusher/src/process/broker/wire.rs
@@ -51,7 +51,7 @@
     peer::Notice {
         pool: record.pool.to_string(),
         server: record.server.to_string(),
-        born: record.born_ms.map(|born| born as i64),
+        born: record.started_ms.map(|born| born as i64),
         limit: limit.map(|rate| i64::from(rate.0)),
         named: limit.map(|_| age(record.limit.named())),
         lifted: record.limit.lifted().map(age),
--- a/crates/drumusher/src/process/catalog/apply.rs
+++ b/crates/drumusher/src/process/catalog/apply.rs
@@ -120,7 +120,7 @@
         match self.store.server(&record.key, &value) {
             Ok(server) => {
                 let (service, leaving) = (server.service.clone(), server.leaving);
-                let born = server.born_ms;
+                let born = server.started_ms;
                 if put(&mut self.state.borrow_mut().entries, server) {
                     log::info!(
                         server = record.key.as_str(), service = service.as_str(),
--- a/crates/drumusher/src/process/catalog/entries.rs
+++ b/crates/drumusher/src/process/catalog/entries.rs
@@ -99,7 +99,7 @@
     /// nothing: it was written, or came, late.
     pub fn put(&mut self, server: Server) -> bool {
         let known = self.servers.get(&server.id);
-        if known.is_some_and(|known| server.born_ms < known.born_ms) {
+        if known.is_some_and(|known| server.started_ms < known.started_ms) {
             return false;
         }
         self.ended.retain(|key| *key != server.id);
@@ -118,7 +118,8 @@
             return false;
         }
         let known = self.servers.get(&server.id);
-        let left = known.is_some_and(|known| known.leaving && known.born_ms == server.born_ms);
+        let left =
+            known.is_some_and(|known| known.leaving && known.started_ms == server.started_ms);
         let leaving = server.leaving || left;
         self.put(Server { leaving, ..server })
     }
--- a/crates/drumusher/src/process/dispatch/host.rs
+++ b/crates/drumusher/src/process/dispatch/host.rs
@@ -21,7 +21,7 @@
 struct Applied {
     options: server::Options,
     leaving: bool,
-    born_ms: Option<u64>,
+    started_ms: Option<u64>,
 }
 
 /// One pool with the names of its backend servers.
@@ -127,11 +127,11 @@
     pub(super) fn start(
         &self,
         name: &str,
-        born_ms: Option<u64>,
+        started_ms: Option<u64>,
     ) -> Option<(Arc<str>, server::Key)> {
         let (name, applied) = self.applied.get_key_value(name)?;
         let key = self.known.get(name)?;
-        (applied.born_ms == born_ms).then(|| (name.clone(), *key))
+        (applied.started_ms == started_ms).then(|| (name.clone(), *key))
     }
 
     /// The key of a name, a new one if it has none.
@@ -165,12 +165,12 @@
             let leaving = backend.leaving || says_so;
             let slots = (backend.slots / divide).max(1);
             let options = options(slots, learned, rank::weight(pool, name));
-            let mut applied = Applied { options, leaving, born_ms: backend.born_ms };
+            let mut applied = Applied { options, leaving, started_ms: backend.started_ms };
             let before = self.applied.get(name);
             if before == Some(&applied) {
                 continue;
             }
-            if before.is_some_and(|before| before.born_ms < applied.born_ms) {
+            if before.is_some_and(|before| before.started_ms < applied.started_ms) {
                 events.extend(self.forget(name));
                 applied.leaving = backend.leaving;
             }
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -101,8 +101,8 @@
     pub(super) fn noticed(&mut self, entry: Entry, notice: &peer::Notice) {
         let Some(pool) = Pool::parse(&notice.pool) else { return };
         let Some(host) = self.hosts.get_mut(&pool) else { return };
-        let born_ms = notice.born.map(|born| born.max(0) as u64);
-        let Some((server, key)) = host.start(&notice.server, born_ms) else { return };
+        let started_ms = notice.born.map(|born| born.max(0) as u64);
+        let Some((server, key)) = host.start(&notice.server, started_ms) else { return };
         let now = clock::now();
         let limited = host.notices.take_limit(now, &server, notice);
         let leaves = notice.leaving == Some(true) && host.notices.leave(&server);
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -39,7 +39,7 @@
     /// Its name.
     pub server: Arc<str>,
     /// When it started, in Unix milliseconds, if that is known.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The limit for all instances together.
     pub limit: Limit,
     /// Since when it is known to leave.
@@ -133,10 +133,10 @@
         }
         let record =
             records.entry(server.name.clone()).or_insert_with(|| Record::new(pool, server));
-        if record.born_ms > server.born_ms {
+        if record.started_ms > server.started_ms {
             return None;
         }
-        if record.born_ms < server.born_ms {
+        if record.started_ms < server.started_ms {
             *record = Record::new(pool, server);
         }
         let told = record.take(now, answer).then(|| record.clone());
@@ -162,14 +162,15 @@
         }
         let mut records = self.lock();
         let record = records.get_mut(&server.name);
-        let record = record.filter(|record| record.born_ms >= server.born_ms)?;
+        let record = record.filter(|record| record.started_ms >= server.started_ms)?;
         record.learn(basis);
         Some((record.withholds(now, basis)?, record.clone()))
     }
 
     /// Whether a backend server said that it leaves.
     pub fn leaves(&self, server: &Backend) -> bool {
-        let leaves = |record: &Record| record.leaving.is_some() && record.born_ms >= server.born_ms;
+        let leaves =
+            |record: &Record| record.leaving.is_some() && record.started_ms >= server.started_ms;
         self.len.load(Ordering::Acquire) > 0 && self.lock().get(&server.name).is_some_and(leaves)
     }
 
@@ -210,7 +211,7 @@
         }
         let mut records = self.lock();
         records.retain(|name, record| match directory.backend(&record.pool, name) {
-            Some(listed) => listed.born_ms <= record.born_ms,
+            Some(listed) => listed.started_ms <= record.started_ms,
             None => now < record.heard + REMEMBERED,
         });
         self.len.store(records.len(), Ordering::Release);
@@ -226,7 +227,7 @@
         Record {
             pool: pool.clone(),
             server: server.name.clone(),
-            born_ms: server.born_ms,
+            started_ms: server.started_ms,
             limit: Limit::default(),
             leaving: None,
             rest: None,
--- a/crates/drumusher/src/routed/exchange/crash.rs
+++ b/crates/drumusher/src/routed/exchange/crash.rs
@@ -25,7 +25,7 @@
         let pool = Pool::Service(self.request.found.service.clone());
         let directory = self.worker.shared.directory.load();
         let listed = directory.backend(&pool, &backend.name);
-        let stays = listed.is_some_and(|now| !now.leaving && now.born_ms == backend.born_ms);
+        let stays = listed.is_some_and(|now| !now.leaving && now.started_ms == backend.started_ms);
         let Ok(address) = backend.address.parse() else { return };
         if !stays {
             return;
@@ -36,7 +36,7 @@
             pool,
             area: self.worker.shared.area.clone(),
             server: backend.name.clone(),
-            born_ms: backend.born_ms,
+            started_ms: backend.started_ms,
             alone: self.alone,
             workspace: self.request.found.workspace.clone().unwrap_or_else(|| "".into()),
             route: self.request.found.route.clone(),
--- a/crates/drumusher/src/upstream/pool.rs
+++ b/crates/drumusher/src/upstream/pool.rs
@@ -80,5 +80,5 @@
 }
 
 fn start(server: &Backend) -> Start {
-    (server.name.clone(), server.born_ms)
+    (server.name.clone(), server.started_ms)
 }
--- a/crates/drumusher/src/version/directory.rs
+++ b/crates/drumusher/src/version/directory.rs
@@ -74,7 +74,7 @@
     pub leaving: bool,
     /// When it started, in Unix milliseconds by its own clock, if that is known. One that started again under
     /// its name holds and knows nothing of before.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Its availability zone.
     pub availability_zone: Arc<str>,
     /// Whether it may be taken away, with a short notice.
@@ -116,7 +116,7 @@
                 address: address.clone(),
                 slots: engine.slots,
                 leaving: engine.drained,
-                born_ms: None,
+                started_ms: None,
             };
             directory.add_backend(Pool::Model(model.as_str().into()), backend);
         }
@@ -140,7 +140,7 @@
                 address: server.address.to_string(),
                 slots: server.slots,
                 leaving: server.leaving,
-                born_ms: server.born_ms,
+                started_ms: server.started_ms,
                 availability_zone: server.availability_zone.as_str().into(),
                 spot: server.spot,
             };
@@ -170,7 +170,7 @@
                 leaving: leaving || drained,
                 availability_zone: area.clone(),
                 spot: false,
-                born_ms: None,
+                started_ms: None,
             };
             self.add_backend(pool, backend);
         }
@@ -210,7 +210,7 @@
     /// Whether a backend server of a pool started again after `backend` was seen there.
     pub fn started_again(&self, pool: &Pool, backend: &Backend) -> bool {
         let now = self.backend(pool, &backend.name);
-        now.is_some_and(|now| now.born_ms > backend.born_ms && backend.born_ms.is_some())
+        now.is_some_and(|now| now.started_ms > backend.started_ms && backend.started_ms.is_some())
     }
 
     /// The areas that have a backend server of a pool which takes new work.
--- a/crates/drumusher/tests/unit/broker.rs
+++ b/crates/drumusher/tests/unit/broker.rs
@@ -362,7 +362,7 @@
         address: "127.0.0.1:1".into(),
         slots: 8,
         leaving: false,
-        born_ms: None,
+        started_ms: None,
         availability_zone: "suva".into(),
         spot: false,
     };
--- a/crates/drumusher/tests/unit/catalog.rs
+++ b/crates/drumusher/tests/unit/catalog.rs
@@ -16,7 +16,7 @@
         availability_zone: "z".into(),
         slots: 1,
         leaving: false,
-        born_ms: None,
+        started_ms: None,
         spot: false,
     }
 }
@@ -289,7 +289,8 @@
 /// A server that starts again keeps its name. What its earlier start wrote and came late says nothing.
 #[test]
 fn an_entry_of_an_earlier_start_changes_nothing() {
-    let born = |born_ms, leaving| Server { born_ms: Some(born_ms), leaving, ..server("a") };
+    let born =
+        |started_ms, leaving| Server { started_ms: Some(started_ms), leaving, ..server("a") };
     let mut entries = Entries::new();
     assert!(entries.put(born(1_000, false)));
     assert!(entries.put(born(2_000, false)), "a later start is new");
@@ -298,7 +299,7 @@
         !entries.put(server("a")),
         "one that does not tell its start is older than one that does"
     );
-    let known: Vec<Option<u64>> = entries.servers().map(|server| server.born_ms).collect();
+    let known: Vec<Option<u64>> = entries.servers().map(|server| server.started_ms).collect();
     assert_eq!(known, [Some(2_000)]);
 }
 
@@ -336,7 +337,8 @@
 #[test]
 fn a_copy_calls_no_leaving_server_back() {
     let mut entries = Entries::new();
-    let born = |born_ms, leaving| Server { born_ms: Some(born_ms), leaving, ..server("a") };
+    let born =
+        |started_ms, leaving| Server { started_ms: Some(started_ms), leaving, ..server("a") };
     entries.put(born(1_000, true));
     entries.put_restored(born(1_000, false), 0);
     assert!(entries.servers().all(|server| server.leaving));
--- a/crates/drumusher/tests/unit/directory.rs
+++ b/crates/drumusher/tests/unit/directory.rs
@@ -17,7 +17,7 @@
         availability_zone: format!("z{}", number % 4),
         slots: 12,
         leaving: false,
-        born_ms: None,
+        started_ms: None,
         spot: false,
     }
 }
--- a/crates/drumusher/tests/unit/host.rs
+++ b/crates/drumusher/tests/unit/host.rs
@@ -26,7 +26,7 @@
         area: "z".into(),
         address: "127.0.0.1:1".into(),
         leaving: false,
-        born_ms: None,
+        started_ms: None,
         availability_zone: "z".into(),
         spot: false,
         slots: 48,
@@ -70,7 +70,7 @@
 fn a_server_that_starts_again_is_known_by_a_new_key() {
     let bound = Bound { ratio: 0.2, slack: 1.0, window: 1 };
     let mut host = Host::new(Arc::new(Policy::new(Vec::new(), Vec::new())), 0, bound);
-    let born = |born_ms| Backend { born_ms, ..backend() };
+    let born = |started_ms| Backend { started_ms, ..backend() };
     let mut refresh = |backend: &Backend| {
         let wanted = BTreeMap::from([(backend.name.clone(), backend)]);
         keys(&host.refresh("p", &wanted, false, 1))
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -21,14 +21,14 @@
     Pool::Service("desk".into())
 }
 
-fn server(name: &str, born_ms: Option<u64>) -> Backend {
+fn server(name: &str, started_ms: Option<u64>) -> Backend {
     Backend {
         name: name.into(),
         area: "r".into(),
         address: "127.0.0.1:1".into(),
         slots: 8,
         leaving: false,
-        born_ms,
+        started_ms,
         availability_zone: "z".into(),
         spot: false,
     }
