--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -38,7 +38,7 @@
     let mut deployment = Deployment::unconfigured(0);
     deployment.store.put("keyed.op", "config", &scalable(1, ""));
     for number in 0..instances {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, &settings(&duties));
     }
     deployment.wait_serving();
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -131,7 +131,7 @@
 fn an_instance_is_entered_by_another() {
     let mut deployment = Deployment::new(1);
     wait_for("the first one entered itself", || known(&deployment, 1));
-    let door = deployment.store.door().expect("a way to the store");
+    let door = deployment.store.endpoint().expect("a way to the store");
     door.set_read_only();
     deployment.add_instance_with("i1", door, "");
     wait_for("it is entered", || known(&deployment, 2));
@@ -159,7 +159,7 @@
 fn a_starting_instance_refuses_nothing() {
     let mut deployment = Deployment::empty(false);
     deployment.add_server("d1", DESK);
-    let door = deployment.store.door().expect("a way to the store");
+    let door = deployment.store.endpoint().expect("a way to the store");
     deployment.add_instance_with("i0", door, "[start]\nwait_ms = 45000\n");
     let call = Call::get("/read/").with("Drumusher-Deadline-Ms", "600000");
     let mut conn = deployment.connect(0).expect("a connection");
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -41,7 +41,7 @@
     let mut deployment = Deployment::empty(relayed);
     (0..servers).for_each(|number| deployment.add_server(&format!("d{number}"), DESK));
     for number in 0..instances {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
--- a/crates/drumusher/tests/routes/quarantine.rs
+++ b/crates/drumusher/tests/routes/quarantine.rs
@@ -52,7 +52,7 @@
         deployment.add_server(&format!("m{number}"), MODEL);
     }
     for number in 0..instances {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &two_workspaces());
@@ -258,7 +258,7 @@
     end_under(&deployment, "d", "/read/x", false);
     let call = Call::get("/read/x");
     until_held(&deployment, &call);
-    let door = deployment.store.door().expect("a way to the store");
+    let door = deployment.store.endpoint().expect("a way to the store");
     deployment.add_instance_with("later", door, OPERATOR);
     wait_for("the new one serves", || answer(&deployment, 1, &Call::get("/read/")).0 == 200);
     let reached = arrivals(&deployment, &call.path).len();
@@ -306,7 +306,7 @@
     let mut deployment = Deployment::empty(true);
     (0..6).for_each(|number| deployment.add_server(&format!("d{number}"), DESK));
     for number in 0..3 {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &two_workspaces());
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -143,7 +143,7 @@
         deployment.add_server(&format!("m{number}"), MODEL);
     }
     for number in 0..INSTANCES {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, &settings(duties));
     }
     deployment.store.put("keyed.op", "config", &scalable(1, &promise::route(1)));
--- a/crates/drumusher/tests/routes/support.rs
+++ b/crates/drumusher/tests/routes/support.rs
@@ -16,7 +16,7 @@
     time::Duration,
 };
 
-use drumusher_adapter_stand_in::{Server, Store, store::Door};
+use drumusher_adapter_stand_in::{Server, Store, store::Endpoint};
 use drumusher_bench::fleet::{Relay, wait_for};
 
 /// The service of plain requests.
@@ -42,7 +42,7 @@
     /// Where the balancer asks it.
     pub status: SocketAddr,
     /// Its way to the store.
-    pub door: Door,
+    pub door: Endpoint,
     /// What can be done to its connections, if the deployment has relays.
     pub relays: Option<Relays>,
     /// How often it was started.
@@ -177,12 +177,12 @@
 
     /// Starts an instance.
     pub fn add_instance(&mut self, name: &str) {
-        let door = self.store.door().expect("a way to the store");
+        let door = self.store.endpoint().expect("a way to the store");
         self.add_instance_with(name, door, "");
     }
 
     /// Starts an instance that has this way to the store and some more settings.
-    pub fn add_instance_with(&mut self, name: &str, door: Door, more: &str) {
+    pub fn add_instance_with(&mut self, name: &str, door: Endpoint, more: &str) {
         let ip = own_ip();
         let lines = self.folder.join(format!("{name}.log"));
         // Between the choice of a port and its use another process may take it for a moment.
--- a/crates/drumusher/tests/routes/transfer.rs
+++ b/crates/drumusher/tests/routes/transfer.rs
@@ -32,7 +32,7 @@
     let mut deployment = Deployment::empty(true);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     for number in 0..instances {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, "");
     }
     for instance in &deployment.instances {
