--- a/crates/drumusher/tests/routes/config.rs
+++ b/crates/drumusher/tests/routes/config.rs
@@ -1,7 +1,7 @@
 //! The configuration and the entries of backend servers: in force soon, never back, kept while the
 //! store is away.
 
-use drumusher_adapter_stand_in::Away;
+use drumusher_adapter_stand_in::Outage;
 use drumusher_bench::fleet::wait_for;
 use rstest::rstest;
 
@@ -54,20 +54,20 @@
 /// While the store is away everything goes on, and changes made meanwhile are in force after it
 /// returns, also when the history was dropped.
 #[rstest]
-#[case(Away::Busy)]
-#[case(Away::Reset)]
-#[case(Away::Silent)]
-fn an_outage_of_the_store_changes_nothing(#[case] away: Away) {
+#[case(Outage::Unavailable)]
+#[case(Outage::Reset)]
+#[case(Outage::Unresponsive)]
+fn an_outage_of_the_store_changes_nothing(#[case] away: Outage) {
     let deployment = Deployment::new(1);
-    deployment.store.set_away(away);
-    deployment.instances[0].door.set_away(away);
+    deployment.store.set_outage(away);
+    deployment.instances[0].door.set_outage(away);
     for _ in 0..5 {
         assert_eq!(status(&deployment, 0, "/read/"), 200);
     }
     deployment.store.put("keyed.op", "config", &configuration(2, "extra"));
     deployment.store.forget("keyed.op");
-    deployment.store.set_away(Away::No);
-    deployment.instances[0].door.set_away(Away::No);
+    deployment.store.set_outage(Outage::None);
+    deployment.instances[0].door.set_outage(Outage::None);
     wait_for("the change is in force", || status(&deployment, 0, "/extra/") == 200);
 }
 
@@ -97,14 +97,14 @@
 fn lapsed_entries_are_held() {
     let deployment = Deployment::new(1);
     let door = &deployment.instances[0].door;
-    door.set_away(Away::Reset);
+    door.set_outage(Outage::Reset);
     wait_for("the outage is known", || {
         deployment.instances[0].lines().contains("what is in force stays")
     });
     for id in ["d1", "d2"] {
         deployment.store.remove("keyed.servers", id);
     }
-    door.set_away(Away::No);
+    door.set_outage(Outage::None);
     wait_for("it is back", || deployment.instances[0].lines().contains("answers again"));
     assert_eq!(status(&deployment, 0, "/read/"), 200, "the servers are held");
     let entry = deployment.server("d1").entry(DESK, "ready");
@@ -122,7 +122,7 @@
 fn no_call_hangs_beyond_an_outage() {
     let deployment = Deployment::new(1);
     let door = &deployment.instances[0].door;
-    door.set_away(Away::Silent);
+    door.set_outage(Outage::Unresponsive);
     let known = || deployment.instances[0].lines().contains("what is in force stays");
     // A call of before is still answered, also ten seconds later, and shows the store to be there.
     deployment.store.put("keyed.instances", "another", "{}");
--- a/crates/drumusher/tests/routes/doubt.rs
+++ b/crates/drumusher/tests/routes/doubt.rs
@@ -12,7 +12,7 @@
 //! The same lines showed calls that had begun during the outage and failed up to ten seconds after it, which
 //! counted as a new outage.
 
-use drumusher_adapter_stand_in::Away;
+use drumusher_adapter_stand_in::Outage;
 use drumusher_bench::fleet::wait_for;
 
 use crate::{
@@ -55,14 +55,14 @@
 fn doubt_ends_amid_configurations() {
     let deployment = Deployment::new(4);
     for instance in &deployment.instances {
-        instance.door.set_away(Away::Reset);
+        instance.door.set_outage(Outage::Reset);
     }
     for instance in &deployment.instances {
         wait_for("the outage is known", || instance.lines().contains("what is in force stays"));
     }
     deployment.store.remove("keyed.servers", "d2");
     for instance in &deployment.instances {
-        instance.door.set_away(Away::No);
+        instance.door.set_outage(Outage::None);
     }
     let mut version = 1;
     let gone =
@@ -119,7 +119,7 @@
         wait_for("no call of before is under way", || door.under_way() == 0);
     }
     for at in four_by_rank() {
-        deployment.instances[at].door.set_away(Away::Reset);
+        deployment.instances[at].door.set_outage(Outage::Reset);
     }
     for at in four_by_rank() {
         let instance = &deployment.instances[at];
--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use drumusher_adapter_stand_in::{Away, duty::Duties};
+use drumusher_adapter_stand_in::{Outage, duty::Duties};
 use drumusher_bench::fleet::wait_for;
 use rstest::rstest;
 
@@ -145,18 +145,18 @@
 
 /// However the platform fails, each window is reported with one content, and all come when it is back.
 #[rstest]
-#[case(Away::Busy)]
-#[case(Away::Reset)]
-#[case(Away::Silent)]
-fn reports_wait_for_the_platform(#[case] away: Away) {
+#[case(Outage::Unavailable)]
+#[case(Outage::Reset)]
+#[case(Outage::Unresponsive)]
+fn reports_wait_for_the_platform(#[case] away: Outage) {
     let (deployment, duties) = deploy(2);
-    duties.set_away(away);
+    duties.set_outage(away);
     send(&deployment, 0, 4);
     let reports = || duties.calls().iter().filter(|call| call.path == "/usage").count();
     let before = reports();
     wait_for("it is tried again", || reports() >= before + 2);
     send(&deployment, 1, 4);
-    duties.set_away(Away::No);
+    duties.set_outage(Outage::None);
     wait_all_reported(&deployment, &duties);
     assert_eq!(duties.fault(APART, &[]), None);
 }
@@ -164,13 +164,13 @@
 /// While the store is away nobody can prove that it has the duties, or tell what it counted; when it is back all is
 /// reported.
 #[rstest]
-#[case(Away::Busy)]
-#[case(Away::Silent)]
-fn all_is_reported_when_the_store_is_back(#[case] away: Away) {
+#[case(Outage::Unavailable)]
+#[case(Outage::Unresponsive)]
+fn all_is_reported_when_the_store_is_back(#[case] away: Outage) {
     let (deployment, duties) = deploy(2);
     send(&deployment, 0, 2);
     wait_all_reported(&deployment, &duties);
-    let set_away = |away| deployment.instances.iter().for_each(|i| i.door.set_away(away));
+    let set_away = |away| deployment.instances.iter().for_each(|i| i.door.set_outage(away));
     set_away(away);
     send(&deployment, 0, 4);
     let told = || {
@@ -178,7 +178,7 @@
         lines.filter(|lines| lines.contains("was not renewed for sure")).count() > 0
     };
     wait_for("the lease is not renewed", told);
-    set_away(Away::No);
+    set_away(Outage::None);
     send(&deployment, 1, 2);
     wait_all_reported(&deployment, &duties);
     assert_eq!(duties.fault(APART, &[]), None);
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use drumusher_adapter_stand_in::{Away, server::body};
+use drumusher_adapter_stand_in::{Outage, server::body};
 use drumusher_bench::fleet::wait_for;
 use drumusher_schedule::rank::{self, CAPACITY, Candidate};
 use rstest::rstest;
@@ -14,12 +14,12 @@
 #[rstest]
 fn changes_are_passed_on_between_instances(
     #[values(0, 1, 2)] turned_away: usize,
-    #[values(Away::Busy, Away::Silent)] away: Away,
+    #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
     let deployment = Deployment::new(3);
     wait_for("they know each other", || known(&deployment, 3));
     let door = &deployment.instances[turned_away].door;
-    door.set_away(away);
+    door.set_outage(away);
     wait_for("no call of before is under way", || {
         let reads =
             last_of(&deployment.instances[turned_away].lines(), "reads the store for others");
@@ -72,7 +72,7 @@
 #[rstest]
 fn those_that_read_the_store_tell_each_other(
     #[values(0, 3)] left: usize,
-    #[values(Away::Busy, Away::Silent)] away: Away,
+    #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
     let deployment = Deployment::unconfigured(6);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
@@ -88,7 +88,7 @@
         deployment.instances[readers[left]].metric(&["entries_confirmed"]) >= SERVERS
     });
     for at in readers.iter().filter(|at| **at != readers[left]) {
-        deployment.instances[*at].door.set_away(away);
+        deployment.instances[*at].door.set_outage(away);
     }
     for at in readers.iter().filter(|at| **at != readers[left]) {
         let door = &deployment.instances[*at].door;
--- a/crates/drumusher/tests/routes/restore.rs
+++ b/crates/drumusher/tests/routes/restore.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-use drumusher_adapter_stand_in::{Away, duty::Duties, store::Snapshot};
+use drumusher_adapter_stand_in::{Outage, duty::Duties, store::Snapshot};
 use drumusher_bench::fleet::{Mode, wait_for};
 use rstest::rstest;
 
@@ -61,13 +61,13 @@
     let outages =
         |at: usize| deployment.instances[at].lines().matches("what is in force stays").count();
     let before: Vec<usize> = (0..deployment.instances.len()).map(outages).collect();
-    deployment.instances.iter().for_each(|instance| instance.door.set_away(Away::Reset));
+    deployment.instances.iter().for_each(|instance| instance.door.set_outage(Outage::Reset));
     for (at, before) in before.into_iter().enumerate() {
         wait_for("the outage is known", || outages(at) > before);
     }
     deployment.store.restore(snapshot);
     write();
-    deployment.instances.iter().for_each(|instance| instance.door.set_away(Away::No));
+    deployment.instances.iter().for_each(|instance| instance.door.set_outage(Outage::None));
 }
 
 /// Versions that are written after a restore come into force, wherever the log ends then.
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use drumusher_adapter_stand_in::{Away, Fault, Notice, duty::Duties, store::Snapshot};
+use drumusher_adapter_stand_in::{Fault, Notice, Outage, duty::Duties, store::Snapshot};
 use drumusher_bench::fleet::{Mode, Relay};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -64,7 +64,7 @@
 ];
 
 /// How the store may be away.
-const AWAY: [Away; 3] = [Away::Busy, Away::Reset, Away::Silent];
+const AWAY: [Outage; 3] = [Outage::Unavailable, Outage::Reset, Outage::Unresponsive];
 
 /// The end of a fault.
 #[derive(Clone, Debug, PartialEq)]
@@ -214,7 +214,7 @@
 
     /// The platform takes no calls of duties.
     fn platform(&mut self) {
-        self.duties.set_away(AWAY[self.random.random_range(0..AWAY.len())]);
+        self.duties.set_outage(AWAY[self.random.random_range(0..AWAY.len())]);
         self.later(Cure::Take);
     }
 
@@ -276,7 +276,7 @@
     fn door(&mut self) {
         let at = self.random.random_range(0..self.deployment.instances.len());
         let away = AWAY[self.random.random_range(0..AWAY.len())];
-        self.deployment.instances[at].door.set_away(away);
+        self.deployment.instances[at].door.set_outage(away);
         self.later(Cure::Serve(at));
     }
 
@@ -288,7 +288,7 @@
         }
         let away = AWAY[self.random.random_range(0..AWAY.len())];
         for instance in &self.deployment.instances {
-            instance.door.set_away(away);
+            instance.door.set_outage(away);
         }
         let left = self.journal.left();
         let mut lapsed = Vec::new();
@@ -395,8 +395,8 @@
             Cure::Restart(at) => self.restart(at),
             Cure::Well(at) => self.deployment.servers[at].set(Fault::None),
             Cure::Quiet(at) => self.quiet(at),
-            Cure::Take => self.duties.set_away(Away::No),
-            Cure::Serve(at) => self.deployment.instances[at].door.set_away(Away::No),
+            Cure::Take => self.duties.set_outage(Outage::None),
+            Cure::Serve(at) => self.deployment.instances[at].door.set_outage(Outage::None),
             Cure::Return(lapsed) => self.store_returns(&lapsed),
             Cure::Rewrite => self.rewrite(),
         }
@@ -425,7 +425,7 @@
     /// The store serves all again, and owners enter what lapsed.
     fn store_returns(&mut self, lapsed: &[usize]) {
         for instance in &self.deployment.instances {
-            instance.door.set_away(Away::No);
+            instance.door.set_outage(Outage::None);
         }
         let left = self.journal.left();
         for at in lapsed {
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -27,7 +27,7 @@
 };
 
 use drumusher_adapter_stand_in::{
-    Away,
+    Outage,
     duty::Duties,
     server::{body, events},
 };
@@ -208,13 +208,13 @@
     let outages = |instance: &Instance| instance.lines().matches("what is in force stays").count();
     let before: Vec<usize> = deployment.instances.iter().map(outages).collect();
     for instance in &deployment.instances {
-        instance.door.set_away(Away::Reset);
+        instance.door.set_outage(Outage::Reset);
     }
     for (instance, before) in deployment.instances.iter().zip(before) {
         wait_for("the last outage is known", || outages(instance) > before);
     }
     for instance in &deployment.instances {
-        instance.door.set_away(Away::No);
+        instance.door.set_outage(Outage::None);
     }
 }
 
