--- a/crates/drumusher/tests/routes/answers.rs
+++ b/crates/drumusher/tests/routes/answers.rs
@@ -17,7 +17,7 @@
 /// A request that may not be repeated runs at most once whatever happens, and what says "not run"
 /// is true.
 #[rstest]
-#[case(Fault::Full, 503, 0)]
+#[case(Fault::Overloaded, 503, 0)]
 #[case(Fault::Misdirected, 503, 0)]
 #[case(Fault::Fails, 500, 1)]
 #[case(Fault::Reset, 502, 1)]
@@ -25,7 +25,7 @@
 #[case(Fault::Garbled, 502, 1)]
 #[case(Fault::Unsigned, 502, 1)]
 #[case(Fault::UnframedReset, 502, 1)]
-#[case(Fault::Mute, 504, 1)]
+#[case(Fault::Hang, 504, 1)]
 #[case(Fault::Unframed, 200, 1)]
 #[case(Fault::Extra, 200, 1)]
 #[case(Fault::Crossed, 200, 1)]
@@ -51,7 +51,7 @@
 
 /// A repeatable request is answered by another backend server when one fails.
 #[rstest]
-#[case(Fault::Full)]
+#[case(Fault::Overloaded)]
 #[case(Fault::Misdirected)]
 #[case(Fault::Fails)]
 #[case(Fault::Reset)]
@@ -59,7 +59,7 @@
 #[case(Fault::Garbled)]
 #[case(Fault::Unsigned)]
 #[case(Fault::UnframedReset)]
-#[case(Fault::Mute)]
+#[case(Fault::Hang)]
 fn a_repeatable_request_goes_elsewhere(#[case] fault: Fault) {
     let deployment = Deployment::new(1);
     deployment.server("d1").set(fault);
@@ -132,7 +132,7 @@
 #[test]
 fn a_caller_that_is_gone_stops_the_work() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Mute);
+    set_desks(&deployment, Fault::Hang);
     let call = Call::post("/book/", "x");
     leave_while_it_runs(&deployment, &call);
     wait_for("the server sees the close", || {
@@ -145,7 +145,7 @@
 #[test]
 fn a_final_answer_comes_at_the_deadline() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Mute);
+    set_desks(&deployment, Fault::Hang);
     let call = Call::post("/book/", "x").with("Drumusher-Deadline-Ms", "400");
     let answer = deployment.call(0, &call).expect("an answer");
     assert_eq!(answer.status, 504);
@@ -156,7 +156,7 @@
 #[test]
 fn a_caller_that_leaves_is_told() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Mute);
+    set_desks(&deployment, Fault::Hang);
     let call = Call::post("/book/", "x");
     leave_while_it_runs(&deployment, &call);
     wait_for("its line is written", || {
--- a/crates/drumusher/tests/routes/entries.rs
+++ b/crates/drumusher/tests/routes/entries.rs
@@ -56,7 +56,7 @@
     announce(1_000);
     wait_for("their first start is known", || known(1_000));
     for id in ["d1", "d2"] {
-        deployment.server(id).set(Fault::Mute);
+        deployment.server(id).set(Fault::Hang);
     }
     let call = Call::post("/book/", "a booking");
     std::thread::scope(|scope| {
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -140,7 +140,7 @@
     let deployment = deploy(3, 3);
     let resting = &deployment.servers[0];
     resting.say(Notice::rest("3"));
-    resting.set(Fault::Full);
+    resting.set(Fault::Overloaded);
     come(&deployment, RATE, Duration::from_secs(8));
     let most = unrested(&resting.arrivals(), sender);
     assert!(most <= REST_ALLOWS, "{most} from one instance within a rest");
@@ -161,7 +161,7 @@
     };
     server.say(Notice::limit("abc"));
     come(&deployment, RATE, Duration::from_millis(200));
-    server.set(Fault::Full);
+    server.set(Fault::Overloaded);
     server.say(Notice {
         leaving: Some("1".into()),
         rest: Some("60".into()),
@@ -310,7 +310,7 @@
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
     server.say(Notice::rest("20"));
-    server.set(Fault::Full);
+    server.set(Fault::Overloaded);
     let call = Call::get(&path(&deployment, 0));
     assert_ne!(deployment.call(0, &call.anew()).expect("an answer").status, 200);
     server.set(Fault::None);
@@ -333,7 +333,7 @@
 /// The word comes beside any answer: of a plain request, one that is turned away, one that fails, or a stream.
 #[rstest]
 #[case(Fault::None, "/read/")]
-#[case(Fault::Full, "/read/")]
+#[case(Fault::Overloaded, "/read/")]
 #[case(Fault::Fails, "/read/")]
 #[case(Fault::Crossed, "/read/")]
 #[case(Fault::None, "/talk/")]
@@ -345,7 +345,7 @@
     leaving.say(Notice::leaving());
     leaving.set(fault);
     // So that the first one is tried.
-    other.set(Fault::Full);
+    other.set(Fault::Overloaded);
     wait_for("the instance was told", || {
         let _ = deployment.call(0, &Call::get(path));
         deployment.instances[0].lines().contains("says that it leaves")
--- a/crates/drumusher/tests/routes/quarantine.rs
+++ b/crates/drumusher/tests/routes/quarantine.rs
@@ -371,7 +371,7 @@
 fn the_end_of_a_server_that_leaves_says_nothing() {
     let deployment = deploy_with(1, 2);
     let desks = || deployment.servers.iter().filter(|server| server.id.starts_with('d'));
-    desks().for_each(|server| server.set(Fault::Mute));
+    desks().for_each(|server| server.set(Fault::Hang));
     let call = Call::post("/book/x", "a booking");
     thread::scope(|scope| {
         let calls: Vec<_> =
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -50,11 +50,11 @@
 
 /// What backend servers do when they fail.
 const SERVER_FAULTS: [Fault; 11] = [
-    Fault::Full,
+    Fault::Overloaded,
     Fault::Misdirected,
     Fault::Fails,
     Fault::Reset,
-    Fault::Mute,
+    Fault::Hang,
     Fault::Cut,
     Fault::Garbled,
     Fault::Extra,
@@ -263,7 +263,7 @@
             return;
         }
         if notice.rest.is_some() {
-            server.set(Fault::Full);
+            server.set(Fault::Overloaded);
             self.later(Cure::Well(at));
         }
         self.deployment.servers[at].say(notice);
--- a/crates/drumusher/tests/routes/stop.rs
+++ b/crates/drumusher/tests/routes/stop.rs
@@ -46,7 +46,7 @@
     assert_eq!(read(&mut resting).expect("an answer").status, 200);
     // Something in flight keeps the process there.
     for id in ["m1", "m2"] {
-        deployment.server(id).set(Fault::Mute);
+        deployment.server(id).set(Fault::Hang);
     }
     let mut held = deployment.connect(0).expect("a connection");
     let call = Call::post("/draft/", "x");
@@ -69,7 +69,7 @@
 fn what_cannot_be_finished_is_cut_and_told() {
     let mut deployment = Deployment::new(1);
     for id in ["m1", "m2"] {
-        deployment.server(id).set(Fault::Mute);
+        deployment.server(id).set(Fault::Hang);
     }
     let call = Call::post("/draft/", "x");
     let mut held = deployment.connect(0).expect("a connection");
--- a/crates/drumusher/tests/routes/streams.rs
+++ b/crates/drumusher/tests/routes/streams.rs
@@ -52,8 +52,8 @@
 /// Before its first event a stream that may not be resumed ends with a clear answer.
 #[rstest]
 #[case(Fault::Reset, 502)]
-#[case(Fault::Mute, 504)]
-#[case(Fault::Full, 503)]
+#[case(Fault::Hang, 504)]
+#[case(Fault::Overloaded, 503)]
 fn a_stream_that_never_began_has_a_clear_answer(#[case] fault: Fault, #[case] status: u16) {
     let deployment = Deployment::new(1);
     deployment.server("m1").set(fault);
@@ -67,7 +67,7 @@
 #[test]
 fn a_silent_server_is_left() {
     let deployment = Deployment::new(1);
-    deployment.server("m1").set(Fault::Mute);
+    deployment.server("m1").set(Fault::Hang);
     for _ in 0..3 {
         let call = Call::post("/talk/", "x");
         let answer = deployment.call(0, &call).expect("an answer");
@@ -133,7 +133,7 @@
         let ran = |id: &str, at: usize| servers[at].runs().iter().any(|run| run.id == id);
         let keeper = usize::from(ran(&first.id, 1));
         // While it is silent over a long prompt, it is believed to read.
-        servers[keeper].set(Fault::Mute);
+        servers[keeper].set(Fault::Hang);
         let long = prompt(shared, 9_000, 90_000);
         let mut busy = deployment.connect(0).expect("a connection");
         busy.write_all(&long.bytes()).expect("sent");
