--- a/crates/drumusher/tests/routes/quarantine.rs
+++ b/crates/drumusher/tests/routes/quarantine.rs
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-use drumusher_adapter_stand_in::{Ending, Fault, Run, Server, server::events};
+use drumusher_adapter_stand_in::{Crash, Fault, Run, Server, server::events};
 use drumusher_bench::fleet::{Mode, wait_for};
 
 use rstest::rstest;
@@ -81,8 +81,8 @@
 }
 
 /// How backend servers of a service end under a path.
-fn ending(deployment: &Deployment, service: &str, path: &str, renamed: bool) -> Ending {
-    Ending {
+fn ending(deployment: &Deployment, service: &str, path: &str, renamed: bool) -> Crash {
+    Crash {
         path: path.into(),
         after: AFTER,
         down: DOWN,
@@ -102,13 +102,13 @@
     let service = if prefix == "d" { DESK } else { MODEL };
     for server in deployment.servers.iter().filter(|server| server.id.starts_with(prefix)) {
         let ending = ending(deployment, service, path, renamed);
-        server.end_under(Some(Ending { down, ..ending }));
+        server.crash_on(Some(Crash { down, ..ending }));
     }
 }
 
 /// When backend servers ended, first one first.
 fn ends(deployment: &Deployment) -> Vec<Instant> {
-    let mut ends: Vec<Instant> = deployment.servers.iter().flat_map(Server::ends).collect();
+    let mut ends: Vec<Instant> = deployment.servers.iter().flat_map(Server::crashes).collect();
     ends.sort();
     ends
 }
@@ -271,7 +271,7 @@
     assert!(refused.text().contains(r#""ran":"no""#), "{}", refused.text());
     assert_eq!(arrivals(&deployment, &call.path).len(), reached);
 
-    deployment.servers.iter().for_each(|server| server.end_under(None));
+    deployment.servers.iter().for_each(|server| server.crash_on(None));
     let other = call.clone().without("Api-Key").with("Api-Key", OTHER_KEY);
     wait_for("the other workspace's is served", || answer(&deployment, 1, &other).0 == 200);
     assert_eq!(answer(&deployment, 1, &call).1, "held_back");
@@ -384,7 +384,7 @@
         wait_for("it is known who leaves", || {
             desks().all(|server| knows_left(&deployment.instances[0], &server.id))
         });
-        desks().for_each(|server| server.end(&ending(&deployment, DESK, "/", false)));
+        desks().for_each(|server| server.crash(&ending(&deployment, DESK, "/", false)));
         assert!(calls.into_iter().all(|call| call.join().expect("an answer") != 200));
     });
     assert_eq!(ask(&deployment.instances[0], "show quarantine"), "");
--- a/crates/drumusher/tests/routes/soak/ending.rs
+++ b/crates/drumusher/tests/routes/soak/ending.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use drumusher_adapter_stand_in::Ending;
+use drumusher_adapter_stand_in::Crash;
 use drumusher_bench::fleet::wait_for;
 
 use crate::support::{Call, DESK, Deployment, MODEL, read};
@@ -31,7 +31,7 @@
             true => (PATHS[0], DESK),
             false => (PATHS[1], MODEL),
         };
-        server.end_under(Some(Ending {
+        server.crash_on(Some(Crash {
             path: path.into(),
             after: AFTER,
             down: DOWN,
@@ -72,7 +72,7 @@
             wait_for("the request that ends servers is held back", || held(at, path));
         }
     }
-    let ends = || deployment.servers.iter().map(|server| server.ends().len()).sum::<usize>();
+    let ends = || deployment.servers.iter().map(|server| server.crashes().len()).sum::<usize>();
     let before = ends();
     for at in 0..deployment.instances.len() {
         assert!(PATHS.iter().all(|path| held(at, path)), "it is still held back");
