--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -16,7 +16,9 @@
 
 use drumusher_adapter_stand_in::{
     Arrival, Fault, Notice, Server,
-    server::notice::{REST_ALLOWS, late, over_limit, unrested},
+    server::notice::{
+        MAX_REQUESTS_DURING_REST, max_requests_during_rest, over_limit, requests_after_leaving,
+    },
 };
 
 use drumusher_bench::fleet::{Mode, wait_for};
@@ -130,7 +132,7 @@
         deployment.store.put("keyed.servers", &leaving.id, &entry);
         deployment.store.put("keyed.servers", &leaving.id, &leaving.entry(DESK, "ready"));
     }
-    let late = late(&leaving.arrivals(), sender, LEFT_WITHIN);
+    let late = requests_after_leaving(&leaving.arrivals(), sender, LEFT_WITHIN);
     assert_eq!(late, 0, "of {} arrivals", leaving.arrivals().len());
 }
 
@@ -142,8 +144,8 @@
     resting.say(Notice::rest("3"));
     resting.set(Fault::Overloaded);
     come(&deployment, RATE, Duration::from_secs(8));
-    let most = unrested(&resting.arrivals(), sender);
-    assert!(most <= REST_ALLOWS, "{most} from one instance within a rest");
+    let most = max_requests_during_rest(&resting.arrivals(), sender);
+    assert!(most <= MAX_REQUESTS_DURING_REST, "{most} from one instance within a rest");
 }
 
 /// An operator sees who is limited, leaving or at rest, since when and by whose word, and that it changed; and that a
--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -4,7 +4,9 @@
 
 use drumusher_adapter_stand_in::{
     Arrival, Notice, Server,
-    server::notice::{REST_ALLOWS, late, over_limit, unrested},
+    server::notice::{
+        MAX_REQUESTS_DURING_REST, max_requests_during_rest, over_limit, requests_after_leaving,
+    },
 };
 use rand::{RngExt, rngs::StdRng};
 
@@ -37,15 +39,15 @@
     let mut broken = Vec::new();
     for server in servers {
         let arrivals = server.arrivals();
-        let late = late(&arrivals, sender, LEFT_WITHIN);
+        let late = requests_after_leaving(&arrivals, sender, LEFT_WITHIN);
         if late > 0 {
             broken.push(format!(
                 "{} got {late} requests though it had said that it leaves",
                 server.id
             ));
         }
-        let within = unrested(&arrivals, sender);
-        if within > REST_ALLOWS {
+        let within = max_requests_during_rest(&arrivals, sender);
+        if within > MAX_REQUESTS_DURING_REST {
             broken.push(format!("{} got {within} requests of one instance in a rest", server.id));
         }
         broken.extend(limits(server).into_iter().filter_map(|(rate, since, until)| {
