--- a/crates/drumusher/tests/routes/answers.rs
+++ b/crates/drumusher/tests/routes/answers.rs
@@ -136,7 +136,8 @@
     let call = Call::post("/book/", "x");
     leave_while_it_runs(&deployment, &call);
     wait_for("the server sees the close", || {
-        deployment.server("d1").gone() + deployment.server("d2").gone() == 1
+        deployment.server("d1").client_disconnects() + deployment.server("d2").client_disconnects()
+            == 1
     });
 }
 
--- a/crates/drumusher/tests/routes/entries.rs
+++ b/crates/drumusher/tests/routes/entries.rs
@@ -45,7 +45,7 @@
     let deployment = Deployment::new(1);
     let announce = |born: u64| {
         for id in ["d1", "d2"] {
-            let entry = deployment.server(id).entry_born(DESK, "ready", born);
+            let entry = deployment.server(id).entry_started_at(DESK, "ready", born);
             deployment.store.put("keyed.servers", id, &entry);
         }
     };
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -105,7 +105,7 @@
             scope.spawn(move || {
                 let deployment = deploy(3, servers);
                 let in_need = &deployment.servers[..limited];
-                in_need.iter().for_each(|server| server.say(Notice::limit("2.0")));
+                in_need.iter().for_each(|server| server.announce(Notice::limit("2.0")));
                 come(&deployment, RATE, Duration::from_secs(12));
                 for server in in_need {
                     let over = over(server, 2.0);
@@ -125,7 +125,7 @@
 fn one_that_says_that_it_leaves_gets_nothing_more() {
     let deployment = deploy(3, 3);
     let leaving = &deployment.servers[0];
-    leaving.say(Notice::leaving());
+    leaving.announce(Notice::leaving());
     for _ in 0..5 {
         come(&deployment, RATE, Duration::from_secs(1));
         let entry = leaving.entry(DESK, "ready").replace(r#""Slots":8"#, r#""Slots":7"#);
@@ -141,7 +141,7 @@
 fn one_that_asks_for_rest_gets_it() {
     let deployment = deploy(3, 3);
     let resting = &deployment.servers[0];
-    resting.say(Notice::rest("3"));
+    resting.announce(Notice::rest("3"));
     resting.set(Fault::Overloaded);
     come(&deployment, RATE, Duration::from_secs(8));
     let most = max_requests_during_rest(&resting.arrivals(), sender);
@@ -161,10 +161,10 @@
             words.iter().all(|words| rows.contains(words))
         });
     };
-    server.say(Notice::limit("abc"));
+    server.announce(Notice::limit("abc"));
     come(&deployment, RATE, Duration::from_millis(200));
     server.set(Fault::Overloaded);
-    server.say(Notice {
+    server.announce(Notice {
         leaving: Some("1".into()),
         rest: Some("60".into()),
         ..Notice::limit("0.5")
@@ -204,7 +204,7 @@
 fn a_limit_is_kept_although_dispatchers_change(#[case] trouble: Trouble) {
     let mut deployment = deploy_behind(4, 3, true);
     let in_need = deployment.servers[0].clone();
-    in_need.say(Notice::limit("3"));
+    in_need.announce(Notice::limit("3"));
     come(&deployment, RATE, Duration::from_secs(4));
     for at in 0..4 {
         disturb(&mut deployment, at, trouble);
@@ -256,9 +256,9 @@
 fn a_limit_that_ends_is_noticed(#[case] limit: &str) {
     let deployment = deploy(2, 2);
     let server = &deployment.servers[0];
-    server.say(Notice::limit(limit));
+    server.announce(Notice::limit(limit));
     come(&deployment, RATE, Duration::from_secs(2));
-    server.say(Notice::default());
+    server.announce(Notice::default());
     let lifted = |at: usize| ask(&deployment.instances[at], "show notices").is_empty();
     wait_for("no limit is in force", || {
         come(&deployment, RATE, Duration::from_millis(200));
@@ -281,7 +281,7 @@
 #[case(Notice { leaving: Some("0".into()), ..Notice::default() })]
 fn nonsense_holds_up_nothing(#[case] notice: Notice) {
     let deployment = deploy(2, 1);
-    deployment.servers[0].say(notice);
+    deployment.servers[0].announce(notice);
     let statuses = come(&deployment, RATE, Duration::from_secs(1));
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
@@ -290,7 +290,7 @@
 #[test]
 fn who_cannot_be_served_within_the_limits_is_told_so() {
     let deployment = deploy(2, 2);
-    deployment.servers.iter().for_each(|server| server.say(Notice::limit("1")));
+    deployment.servers.iter().for_each(|server| server.announce(Notice::limit("1")));
     let statuses = come(&deployment, RATE, Duration::from_secs(4));
     assert!(statuses.iter().all(|status| [200, 429, 503].contains(status)), "{statuses:?}");
     let call = Call::get(&path(&deployment, 0));
@@ -311,7 +311,7 @@
 fn where_all_servers_rest_callers_are_told_how_long() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
-    server.say(Notice::rest("20"));
+    server.announce(Notice::rest("20"));
     server.set(Fault::Overloaded);
     let call = Call::get(&path(&deployment, 0));
     assert_ne!(deployment.call(0, &call.anew()).expect("an answer").status, 200);
@@ -344,7 +344,7 @@
     let prefix = if path == "/read/" { "d" } else { "m" };
     let mut of_service = deployment.servers.iter().filter(|server| server.id.starts_with(prefix));
     let (leaving, other) = (of_service.next().expect("one"), of_service.next().expect("two"));
-    leaving.say(Notice::leaving());
+    leaving.announce(Notice::leaving());
     leaving.set(fault);
     // So that the first one is tried.
     other.set(Fault::Overloaded);
@@ -367,14 +367,14 @@
 fn a_new_start_ends_what_was_said() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
-    server.say(Notice::leaving());
+    server.announce(Notice::leaving());
     come(&deployment, RATE, Duration::from_millis(300));
     let reached = server.arrivals().len();
     let statuses = come(&deployment, RATE, Duration::from_secs(1));
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
     assert_eq!(server.arrivals().len(), reached);
-    server.say(Notice::default());
-    deployment.store.put("keyed.servers", &server.id, &server.entry_born(DESK, "ready", 9));
+    server.announce(Notice::default());
+    deployment.store.put("keyed.servers", &server.id, &server.entry_started_at(DESK, "ready", 9));
     for at in 0..2 {
         wait_for("it is served", || {
             let call = Call::get(&path(&deployment, at));
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -266,7 +266,7 @@
             server.set(Fault::Overloaded);
             self.later(Cure::Well(at));
         }
-        self.deployment.servers[at].say(notice);
+        self.deployment.servers[at].announce(notice);
         let lasts = Duration::from_millis(self.random.random_range(SAYS_MS));
         self.due.retain(|(_, other)| *other != Cure::Quiet(at));
         self.due.push((Instant::now() + lasts, Cure::Quiet(at)));
@@ -348,7 +348,7 @@
         self.replaced += 1;
         let service = service_of(id);
         self.deployment.add_server(&format!("{}r{}", &id[..1], self.replaced), service);
-        self.deployment.server(id).say(Notice::leaving());
+        self.deployment.server(id).announce(Notice::leaving());
         self.deployment.store.put("keyed.servers", id, entry);
         self.journal.leaves(id);
     }
@@ -418,7 +418,7 @@
     fn quiet(&mut self, at: usize) {
         let server = &self.deployment.servers[at];
         if !self.journal.left().contains(&server.id) {
-            server.say(Notice::default());
+            server.announce(Notice::default());
         }
     }
 
--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -63,7 +63,7 @@
 
 /// The limits that a server named and that can be read, each with when it did.
 fn limits(server: &Server) -> Vec<(f64, Instant, Instant)> {
-    let said = server.said();
+    let said = server.announcements();
     let ends = said.iter().skip(1).map(|(at, _)| *at).chain([Instant::now()]);
     let limits = said.iter().zip(ends).filter_map(|((since, notice), until)| {
         let rate: f64 = notice.limit.as_ref()?.parse().ok()?;
--- a/crates/drumusher/tests/routes/streams.rs
+++ b/crates/drumusher/tests/routes/streams.rs
@@ -111,7 +111,9 @@
     let mut piece = [0; 64];
     assert!(conn.read(&mut piece).expect("the first events") > 0);
     drop(conn);
-    let gone = || deployment.server("m1").gone() + deployment.server("m2").gone();
+    let gone = || {
+        deployment.server("m1").client_disconnects() + deployment.server("m2").client_disconnects()
+    };
     wait_for("the engine sees the close", || gone() == 1);
 }
 
@@ -158,7 +160,7 @@
     let tokens = 9_000;
     let kept = |server: u64| (0..6).map(move |n| (100 * server + n, tokens)).collect::<Vec<_>>();
     for (server, id) in [(1, "m1"), (2, "m2")] {
-        deployment.server(id).keep(&kept(server));
+        deployment.server(id).set_cached_parts(&kept(server));
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     deployment.wait_serving();
