--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -85,7 +85,7 @@
         send(&deployment, instance, 5);
     }
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// The holder is killed: another goes on where it was, with a higher token, and what was told before counts.
@@ -102,7 +102,7 @@
     send(&deployment, other, 3);
     wait_for("another has the duties", || holder(&duties).is_some_and(|now| now != first));
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// One that is paused and goes on no longer has the duties, and does not act as if it had.
@@ -120,7 +120,7 @@
     deployment.instances[at].signal("CONT");
     send(&deployment, at, 3);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
     let stopped = &mut deployment.instances[at];
     stopped.signal("TERM");
     wait_for("it stops as any other", || stopped.ended().is_some());
@@ -138,7 +138,7 @@
     wait_for("it stops", || deployment.instances[at].ended().is_some());
     send(&deployment, (at + 1) % 3, 3);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
     let told = deployment.instances[at].lines();
     assert!(told.contains("this instance no longer has the duties"), "{told}");
 }
@@ -158,7 +158,7 @@
     send(&deployment, 1, 4);
     duties.set_outage(Outage::None);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// While the store is away nobody can prove that it has the duties, or tell what it counted; when it is back all is
@@ -181,7 +181,7 @@
     set_away(Outage::None);
     send(&deployment, 1, 2);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// Cheaper servers are ordered in place of those that there were, within the bounds of the configuration.
@@ -195,5 +195,5 @@
         let count = order.body["DesiredCount"].as_u64().expect("a count");
         assert!((0..=8).contains(&count) && order.body["Zone"] == "z", "{order:?}");
     }
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
--- a/crates/drumusher/tests/routes/restore.rs
+++ b/crates/drumusher/tests/routes/restore.rs
@@ -282,7 +282,7 @@
         send(&deployment, at, 3);
     }
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// The holder is lost with what it wrote last: no window is reported twice, and what runs later is reported.
@@ -308,7 +308,7 @@
     let others = (0..3).filter(|other| *other != at).cycle().take(6);
     others.for_each(|other| send(&deployment, other, 1));
     wait_for("what ran is reported", || reported_since(&duties, since) == 12);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// The number of the window of usage now.
@@ -320,7 +320,7 @@
 /// Requests reported in windows after one.
 fn reported_since(duties: &Duties, window: u64) -> u64 {
     let mut counts = BTreeMap::new();
-    for call in duties.calls().iter().filter(|call| call.path == "/usage" && call.taken) {
+    for call in duties.calls().iter().filter(|call| call.path == "/usage" && call.accepted) {
         let of = call.body["WindowId"].as_u64().expect("a number");
         counts.insert(of, call.body["Counts"]["vanua"].as_u64().unwrap_or(0));
     }
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -128,7 +128,7 @@
     let mut broken = journal.broken(&deployment.servers);
     broken.extend(notice::broken(&deployment.servers, &journal));
     broken.extend(deployment.instances.iter().filter_map(promise::panicked));
-    broken.extend(duties.fault(APART, &journal.thawed()));
+    broken.extend(duties.violation(APART, &journal.thawed()));
     if !broken.is_empty() {
         deployment.keep();
     }
