--- a/crates/drumusher/src/process/catalog.rs
+++ b/crates/drumusher/src/process/catalog.rs
@@ -127,7 +127,7 @@
             platform::Input::State(source, snapshot) => {
                 catalog.apply_peer_update(&source, &snapshot)
             }
-            platform::Input::Enter(name, entry) => catalog.register(name, entry),
+            platform::Input::Register(name, entry) => catalog.register(name, entry),
             platform::Input::Quarantine(digests) => catalog.queue_quarantine(digests),
             // The other inputs occur only with a log service instead of a store.
             _ => {}
--- a/crates/drumusher/src/process/catalog/engine_cache.rs
+++ b/crates/drumusher/src/process/catalog/engine_cache.rs
@@ -58,7 +58,7 @@
     }
 
     async fn query_engine(&self, pool: &Pool, engine: &Backend) {
-        let parts = match self.store.kept(&engine.address).await {
+        let parts = match self.store.cached_parts(&engine.address).await {
             Ok(parts) => parts,
             Err(error) => {
                 log::info!(server = &*engine.name; "cannot list the cache contents of an engine: it {error}");
--- a/crates/drumusher/src/process/catalog/entries.rs
+++ b/crates/drumusher/src/process/catalog/entries.rs
@@ -100,7 +100,7 @@
     /// than the known one was written or arrived late and changes nothing.
     pub fn put(&mut self, server: Server) -> bool {
         let known = self.servers.get(&server.id);
-        if known.is_some_and(|known| server.born_ms < known.born_ms) {
+        if known.is_some_and(|known| server.started_ms < known.started_ms) {
             return false;
         }
         self.removed.retain(|key| *key != server.id);
@@ -121,7 +121,7 @@
         }
         let known = self.servers.get(&server.id);
         let was_leaving =
-            known.is_some_and(|known| known.leaving && known.born_ms == server.born_ms);
+            known.is_some_and(|known| known.leaving && known.started_ms == server.started_ms);
         let leaving = server.leaving || was_leaving;
         self.put(Server { leaving, ..server })
     }
--- a/crates/drumusher/src/process/catalog/membership.rs
+++ b/crates/drumusher/src/process/catalog/membership.rs
@@ -130,7 +130,7 @@
     let mut backoff = Backoff::new();
     let mut missing = None;
     loop {
-        if shared.is_entered() || shared.stopping() {
+        if shared.is_registered() || shared.stopping() {
             missing = None;
             sleep(ENTRY_CHECK_INTERVAL).await;
             continue;
@@ -173,7 +173,7 @@
     loop {
         sleep(ENTRY_CHECK_INTERVAL).await;
         let shared = &catalog.shared;
-        let away = shared.store_away.load(Ordering::Acquire);
+        let away = shared.store_unavailable.load(Ordering::Acquire);
         let lost = shared.lost.load_full();
         if away || lost.is_empty() || !shared.first_reader.load(Ordering::Acquire) {
             continue;
--- a/crates/drumusher/src/process/catalog/poll.rs
+++ b/crates/drumusher/src/process/catalog/poll.rs
@@ -149,7 +149,7 @@
         if shared.reader.load(Ordering::Acquire) {
             return false;
         }
-        let told = shared.told.load(Ordering::Acquire);
+        let told = shared.store_reader_seen.load(Ordering::Acquire);
         let starting = now < self.began + STARTUP_TIME;
         starting && self.others_are_listed() || now < told + RELAY_TIMEOUT
     }
@@ -216,7 +216,7 @@
         let changes = self.store.changes(table, from, wait).await?;
         self.note_answer(from.era);
         match changes {
-            Changes::Dropped => Ok(Outcome::Dropped),
+            Changes::ResyncRequired => Ok(Outcome::Dropped),
             Changes::Records(records, _) if records.is_empty() => Ok(Outcome::Unchanged),
             Changes::Records(records, end) => {
                 self.record_read(table, end);
@@ -233,7 +233,7 @@
     /// How long the store may wait for a change, in milliseconds. Calls are short while the store is unavailable,
     /// so that its return is noticed soon and no call hangs beyond it.
     fn wait_ms(&self, table: Table) -> u64 {
-        let away = self.shared.store_away.load(Ordering::Acquire);
+        let away = self.shared.store_unavailable.load(Ordering::Acquire);
         let first = self.shared.first_reader.load(Ordering::Acquire);
         match &self.shared.settings.store {
             Some(_) if !away && is_rarely_changed(table) => LONG_WAIT_MS,
@@ -256,13 +256,13 @@
         if self.state.borrow_mut().entries.health_mut().record_success(clock::now(), suspected) {
             log::info!(suspected = suspected; "the store answers again");
         }
-        self.shared.store_away.store(false, Ordering::Release);
+        self.shared.store_unavailable.store(false, Ordering::Release);
     }
 
     /// Whether the latest report from the readers that feed this instance was that the store does not answer them.
     fn is_outage_reported(&self) -> bool {
-        let unread = self.shared.unread.load(Ordering::Acquire);
-        unread > 0 && unread >= self.shared.told.load(Ordering::Acquire)
+        let unread = self.shared.store_outage_reported.load(Ordering::Acquire);
+        unread > 0 && unread >= self.shared.store_reader_seen.load(Ordering::Acquire)
     }
 
     /// Records that updates are relayed, so that this instance makes no calls.
@@ -286,7 +286,7 @@
         // From here on short calls probe the store. Until one is answered, this instance does not report that it
         // reads the store: when four of nine readers lost the store without an error, they went on reporting it for
         // 1.7 s.
-        self.shared.store_away.store(true, Ordering::Release);
+        self.shared.store_unavailable.store(true, Ordering::Release);
         if !is_current {
             log::info!(table = table.word(), lasted_ms = lasted; "a long call failed: the store {error}");
         } else if !was_down {
--- a/crates/drumusher/src/process/catalog/quarantine.rs
+++ b/crates/drumusher/src/process/catalog/quarantine.rs
@@ -67,7 +67,7 @@
         }
         self.shared.telemetry.gauge("drumusher.quarantine.known", table.len() as u64);
         drop(table);
-        self.shared.note_held();
+        self.shared.update_held_count();
     }
 
     /// Requests whose records here differ from those of the store.
@@ -152,7 +152,7 @@
             expired.iter().for_each(|digest| table.remove(*digest));
             expired
         };
-        catalog.shared.note_held();
+        catalog.shared.update_held_count();
         catalog.queue_quarantine(expired);
     }
 }
--- a/crates/drumusher/src/process/dispatch/hosted_pool.rs
+++ b/crates/drumusher/src/process/dispatch/hosted_pool.rs
@@ -21,7 +21,7 @@
 struct Applied {
     options: server::Options,
     leaving: bool,
-    born_ms: Option<u64>,
+    started_ms: Option<u64>,
 }
 
 /// The state of one pool that this instance dispatches: its scheduler, the names of its backend servers, its retry budget and its trials.
@@ -127,11 +127,11 @@
     pub(super) fn incarnation(
         &self,
         name: &str,
-        born_ms: Option<u64>,
+        started_ms: Option<u64>,
     ) -> Option<(Arc<str>, server::Key)> {
         let (name, applied) = self.applied.get_key_value(name)?;
         let key = self.keys.get(name)?;
-        (applied.born_ms == born_ms).then(|| (name.clone(), *key))
+        (applied.started_ms == started_ms).then(|| (name.clone(), *key))
     }
 
     /// The key of a name; assigns a new one if it has none.
@@ -166,12 +166,12 @@
             let leaving = backend.leaving || announced;
             let slots = (backend.slots / divisor).max(1);
             let options = options(slots, learned, rank::weight(pool, name));
-            let mut applied = Applied { options, leaving, born_ms: backend.born_ms };
+            let mut applied = Applied { options, leaving, started_ms: backend.started_ms };
             let before = self.applied.get(name);
             if before == Some(&applied) {
                 continue;
             }
-            if before.is_some_and(|before| before.born_ms < applied.born_ms) {
+            if before.is_some_and(|before| before.started_ms < applied.started_ms) {
                 events.extend(self.retire_key(name));
                 applied.leaving = backend.leaving;
             }
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -104,8 +104,8 @@
     pub(super) fn handle_notice(&mut self, entry: Entry, notice: &peer::Notice) {
         let Some(pool) = Pool::parse(&notice.pool) else { return };
         let Some(hosted) = self.pools.get_mut(&pool) else { return };
-        let born_ms = notice.born.map(|born| born.max(0) as u64);
-        let Some((server, key)) = hosted.incarnation(&notice.server, born_ms) else { return };
+        let started_ms = notice.born.map(|born| born.max(0) as u64);
+        let Some((server, key)) = hosted.incarnation(&notice.server, started_ms) else { return };
         let now = clock::now();
         let limited = hosted.notices.update_limit(now, &server, notice);
         let newly_leaving = notice.leaving == Some(true) && hosted.notices.set_leaving(&server);
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -108,7 +108,7 @@
     fn clear_suspect(&mut self, digest: Digest) {
         if self.shared.quarantine().clear(digest) {
             self.store_record(digest);
-            self.shared.note_held();
+            self.shared.update_held_count();
         }
     }
 
@@ -124,7 +124,7 @@
         if self.shared.quarantine().record_crash(digest, end(crash, alone)) {
             self.shared.telemetry.count("drumusher.quarantine.ends", &[]);
             self.log_suspect(digest, crash, alone);
-            self.shared.note_held();
+            self.shared.update_held_count();
             self.store_record(digest);
         }
     }
--- a/crates/drumusher/src/process/duties/publish.rs
+++ b/crates/drumusher/src/process/duties/publish.rs
@@ -44,7 +44,7 @@
 
 async fn publish<S: duty::Duties>(shared: &Shared, platform: &S, update: &Update) {
     let value = serde_json::to_string(update).expect("texts and numbers can be written");
-    if let Err(error) = platform.tell(&value).await {
+    if let Err(error) = platform.publish(&value).await {
         shared.tally().mark_unpublished(update);
         shared.telemetry.count("drumusher.duty.untold", &[]);
         log::debug!("usage counts could not be published: {error}");
--- a/crates/drumusher/src/process/duties/runner.rs
+++ b/crates/drumusher/src/process/duties/runner.rs
@@ -195,15 +195,15 @@
     /// Reads the updates that instances published.
     async fn read(&mut self) {
         let asked_ms = clock::steady_unix_ms();
-        match self.platform.told(self.read_from).await {
+        match self.platform.read_published(self.read_from).await {
             Ok(told) => {
                 self.read_from = told.next;
-                if told.again {
+                if told.overlaps {
                     log::info!(from:% = told.next, values = told.values.len(); "published usage counts are read again");
                     // Other instances may have to publish again what the store lost.
                     self.read = None;
                 }
-                told.values.iter().for_each(|value| self.apply_update(value, told.again));
+                told.values.iter().for_each(|value| self.apply_update(value, told.overlaps));
                 if told.more {
                     // A window is not reported before all updates are read.
                     self.read_at = 0;
@@ -261,11 +261,11 @@
         );
         match answer {
             // A report that the platform does not understand would fail again, and must not hold up the next ones.
-            Ok(Verdict::Taken | Verdict::Wrong(_)) => {
+            Ok(Verdict::Accepted | Verdict::Rejected(_)) => {
                 self.pending_progress = Some(usage.accepted())
             }
             Ok(Verdict::Conflict) => self.lease.token_refused(clock::now()),
-            Ok(Verdict::Later(_)) | Err(_) => {}
+            Ok(Verdict::Retry(_)) | Err(_) => {}
         }
         true
     }
@@ -288,7 +288,7 @@
             "backend servers ordered: {}", word(&answer)
         );
         let outcome = match answer {
-            Ok(Verdict::Taken) => Outcome::Accepted,
+            Ok(Verdict::Accepted) => Outcome::Accepted,
             // If the platform compares tokens, a conflict means either an outdated token or no available servers.
             // On-demand servers are always available, so their conflicts are about the token.
             Ok(Verdict::Conflict) if self.settings.fenced && order.kind == Kind::OnDemand => {
@@ -296,7 +296,7 @@
                 Outcome::Unknown
             }
             Ok(Verdict::Conflict) => Outcome::Unavailable,
-            Ok(Verdict::Later(_) | Verdict::Wrong(_)) | Err(_) => Outcome::Unknown,
+            Ok(Verdict::Retry(_) | Verdict::Rejected(_)) | Err(_) => Outcome::Unknown,
         };
         self.call_ended(&answer);
         self.autoscaler.ended(clock::now(), &service, &order, outcome);
@@ -312,7 +312,7 @@
         let now = clock::now();
         self.lease.call_ended(now);
         self.shared.telemetry.count("drumusher.duty.calls", &[("answer", word(answer))]);
-        let failed = matches!(answer, Err(_) | Ok(Verdict::Later(_)));
+        let failed = matches!(answer, Err(_) | Ok(Verdict::Retry(_)));
         self.pause = match failed {
             true => (self.pause * 2).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE),
             false => 0,
@@ -339,10 +339,10 @@
 /// The answer to a call as a word for logs and metrics.
 fn word(answer: &Result<Verdict, Error>) -> &'static str {
     match answer {
-        Ok(Verdict::Taken) => "taken",
+        Ok(Verdict::Accepted) => "taken",
         Ok(Verdict::Conflict) => "conflict",
-        Ok(Verdict::Later(_)) => "later",
-        Ok(Verdict::Wrong(_)) => "wrong",
+        Ok(Verdict::Retry(_)) => "later",
+        Ok(Verdict::Rejected(_)) => "wrong",
         Err(Error::Unreachable) => "not sent",
         Err(_) => "no answer",
     }
--- a/crates/drumusher/src/process/notices.rs
+++ b/crates/drumusher/src/process/notices.rs
@@ -40,7 +40,7 @@
     /// Its name.
     pub server: Arc<str>,
     /// Start time of its process, in Unix milliseconds, if known.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The rate limit for all instances together.
     pub limit: Limit,
     /// Since when it is known to be leaving.
@@ -134,10 +134,10 @@
         }
         let record =
             records.entry(server.name.clone()).or_insert_with(|| Record::new(pool, server));
-        if record.born_ms > server.born_ms {
+        if record.started_ms > server.started_ms {
             return None;
         }
-        if record.born_ms < server.born_ms {
+        if record.started_ms < server.started_ms {
             *record = Record::new(pool, server);
         }
         let reported = record.update(now, answer).then(|| record.clone());
@@ -164,14 +164,15 @@
         }
         let mut records = self.lock();
         let record = records.get_mut(&server.name);
-        let record = record.filter(|record| record.born_ms >= server.born_ms)?;
+        let record = record.filter(|record| record.started_ms >= server.started_ms)?;
         record.learn_limit(known_limit);
         Some((record.withheld_reason(now, known_limit)?, record.clone()))
     }
 
     /// Whether a backend server announced that it is leaving.
     pub fn leaves(&self, server: &Backend) -> bool {
-        let leaves = |record: &Record| record.leaving.is_some() && record.born_ms >= server.born_ms;
+        let leaves =
+            |record: &Record| record.leaving.is_some() && record.started_ms >= server.started_ms;
         self.len.load(Ordering::Acquire) > 0 && self.lock().get(&server.name).is_some_and(leaves)
     }
 
@@ -212,7 +213,7 @@
         }
         let mut records = self.lock();
         records.retain(|name, record| match directory.backend(&record.pool, name) {
-            Some(listed) => listed.born_ms <= record.born_ms,
+            Some(listed) => listed.started_ms <= record.started_ms,
             None => now < record.last_heard + UNLISTED_RETENTION,
         });
         self.len.store(records.len(), Ordering::Release);
@@ -228,7 +229,7 @@
         Record {
             pool: pool.clone(),
             server: server.name.clone(),
-            born_ms: server.born_ms,
+            started_ms: server.started_ms,
             limit: Limit::default(),
             leaving: None,
             rest: None,
@@ -251,13 +252,13 @@
         if let Some(rest) = notice.rest_ms.filter(|rest| *rest > 0) {
             changed |= self.update_rest(now, now + rest * MILLISECOND);
         }
-        if notice.unclear && !std::mem::replace(&mut self.unclear, true) {
+        if notice.malformed && !std::mem::replace(&mut self.unclear, true) {
             self.log("a backend server gave a notice that cannot be read");
         }
         // A grant counted against a limit shows that another instance knows one. If the answer announces none, that is
         // reported.
         let concerns_limit =
-            notice.limit.is_some() || answer.known_limit.limited && !notice.unclear;
+            notice.limit.is_some() || answer.known_limit.limited && !notice.malformed;
         let due = concerns_limit && now >= self.reported + REPORT_INTERVAL;
         if changed || due {
             self.reported = now;
@@ -268,7 +269,7 @@
     fn update_limit(&mut self, now: Micros, sent: Micros, notice: &Notice) -> bool {
         let changed = match notice.limit {
             Some(rate) => self.limit.announce(now, rate),
-            None if notice.unclear => false,
+            None if notice.malformed => false,
             None => self.limit.lift(sent),
         };
         match self.limit.rate() {
--- a/crates/drumusher/src/process/peers/store.rs
+++ b/crates/drumusher/src/process/peers/store.rs
@@ -68,14 +68,14 @@
 
     /// Whether this instance reads the store and receives answers.
     pub(super) fn reads(&self) -> bool {
-        let away = self.shared.store_away.load(Ordering::Acquire);
+        let away = self.shared.store_unavailable.load(Ordering::Acquire);
         self.shared.reader.load(Ordering::Acquire) && !away
     }
 
     /// This instance's entry while it is not known to be in the store; `None` without a store.
     pub(super) fn missing_entry(&self) -> Option<String> {
         self.shared.settings.store.as_ref()?;
-        (!self.shared.is_entered()).then(|| self.shared.entry.clone())
+        (!self.shared.is_registered()).then(|| self.shared.entry.clone())
     }
 
     /// Registers another instance that reports that it is not listed, if this instance reads the store and does not
@@ -85,7 +85,7 @@
         if known || !self.reads() {
             return;
         }
-        let input = platform::Input::Enter(instance.into(), entry.into());
+        let input = platform::Input::Register(instance.into(), entry.into());
         if self.shared.platform.try_send(input).is_err() {
             log::warn!(instance = instance; "platform queue full; an instance has to send its entry again");
         }
@@ -174,13 +174,13 @@
     fn note_reader_status(&self, instance: &Arc<str>, reads: bool) {
         let now = clock::now();
         if reads {
-            self.shared.told.store(now, Ordering::Release);
+            self.shared.store_reader_seen.store(now, Ordering::Release);
         }
         let mut inner = self.inner.borrow_mut();
         let is_source = inner.sources.contains(instance);
         inner.table.set_store_readable(now, instance, reads || !is_source);
         if !reads && is_source && !self.shared.reader.load(Ordering::Acquire) {
-            self.shared.unread.store(now, Ordering::Release);
+            self.shared.store_outage_reported.store(now, Ordering::Release);
         }
     }
 
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -60,11 +60,11 @@
     /// Whether it is the first of them.
     pub first_reader: AtomicBool,
     /// When another instance last told that it reads the store.
-    pub told: AtomicU64,
+    pub store_reader_seen: AtomicU64,
     /// When one that is to tell this instance last said that it gets no answers of the store.
-    pub unread: AtomicU64,
+    pub store_outage_reported: AtomicU64,
     /// Whether the store did not answer the latest call.
-    pub store_away: AtomicBool,
+    pub store_unavailable: AtomicBool,
     /// The latest era of the store that is known; 0 before one is.
     store_era: AtomicU64,
     /// The position in the table of servers before which ends of entries are no lapses.
@@ -136,9 +136,9 @@
             notices: Arc::default(),
             reader: AtomicBool::new(false),
             first_reader: AtomicBool::new(false),
-            told: AtomicU64::new(0),
-            unread: AtomicU64::new(0),
-            store_away: AtomicBool::new(true),
+            store_reader_seen: AtomicU64::new(0),
+            store_outage_reported: AtomicU64::new(0),
+            store_unavailable: AtomicBool::new(true),
             store_era: AtomicU64::new(0),
             confirmed: Mutex::default(),
             directory: ArcSwap::from_pointee(Directory::default()),
@@ -248,13 +248,13 @@
         self.tally.lock().expect("no holder panics")
     }
 
-    /// What is known of requests that end backend servers. After a change [`Shared::note_held`] is to be called.
+    /// What is known of requests that end backend servers. After a change [`Shared::update_held_count`] is to be called.
     pub fn quarantine(&self) -> MutexGuard<'_, quarantine::Table> {
         self.quarantine.lock().expect("no holder panics")
     }
 
     /// Notes how many requests are held back, and says so if that changed.
-    pub fn note_held(&self) {
+    pub fn update_held_count(&self) {
         let held = self.quarantine().held_count();
         if self.held.swap(held, Ordering::AcqRel) != held {
             log::warn!(held = held; "requests are held back, since backend servers ended each time they ran");
@@ -297,7 +297,7 @@
     }
 
     /// Whether this instance is known to be listed in the store as it is.
-    pub fn is_entered(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         let records = self.records();
         records.value(Table::Instances, &self.name) == Some(self.entry.as_str())
     }
--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use drumusher_adapter_stand_in::{Away, duty::Duties};
+use drumusher_adapter_stand_in::{Outage, duty::Duties};
 use drumusher_bench::fleet::wait_for;
 use rstest::rstest;
 
@@ -38,7 +38,7 @@
     let mut deployment = Deployment::unconfigured(0);
     deployment.store.put("keyed.op", "config", &scalable(1, ""));
     for number in 0..instances {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, &settings(&duties));
     }
     deployment.wait_serving();
@@ -85,7 +85,7 @@
         send(&deployment, instance, 5);
     }
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// The holder is killed: another goes on where it was, with a higher token, and what was told before counts.
@@ -102,7 +102,7 @@
     send(&deployment, other, 3);
     wait_for("another has the duties", || holder(&duties).is_some_and(|now| now != first));
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// One that is paused and goes on no longer has the duties, and does not act as if it had.
@@ -120,7 +120,7 @@
     deployment.instances[at].signal("CONT");
     send(&deployment, at, 3);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
     let stopped = &mut deployment.instances[at];
     stopped.signal("TERM");
     wait_for("it stops as any other", || stopped.ended().is_some());
@@ -138,39 +138,39 @@
     wait_for("it stops", || deployment.instances[at].ended().is_some());
     send(&deployment, (at + 1) % 3, 3);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
     let told = deployment.instances[at].lines();
     assert!(told.contains("this instance no longer has the duties"), "{told}");
 }
 
 /// However the platform fails, each window is reported with one content, and all come when it is back.
 #[rstest]
-#[case(Away::Busy)]
-#[case(Away::Reset)]
-#[case(Away::Silent)]
-fn reports_wait_for_the_platform(#[case] away: Away) {
+#[case(Outage::Unavailable)]
+#[case(Outage::Reset)]
+#[case(Outage::Unresponsive)]
+fn reports_wait_for_the_platform(#[case] away: Outage) {
     let (deployment, duties) = deploy(2);
-    duties.set_away(away);
+    duties.set_outage(away);
     send(&deployment, 0, 4);
     let reports = || duties.calls().iter().filter(|call| call.path == "/usage").count();
     let before = reports();
     wait_for("it is tried again", || reports() >= before + 2);
     send(&deployment, 1, 4);
-    duties.set_away(Away::No);
+    duties.set_outage(Outage::None);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// While the store is away nobody can prove that it has the duties, or tell what it counted; when it is back all is
 /// reported.
 #[rstest]
-#[case(Away::Busy)]
-#[case(Away::Silent)]
-fn all_is_reported_when_the_store_is_back(#[case] away: Away) {
+#[case(Outage::Unavailable)]
+#[case(Outage::Unresponsive)]
+fn all_is_reported_when_the_store_is_back(#[case] away: Outage) {
     let (deployment, duties) = deploy(2);
     send(&deployment, 0, 2);
     wait_all_reported(&deployment, &duties);
-    let set_away = |away| deployment.instances.iter().for_each(|i| i.door.set_away(away));
+    let set_away = |away| deployment.instances.iter().for_each(|i| i.door.set_outage(away));
     set_away(away);
     send(&deployment, 0, 4);
     let told = || {
@@ -178,10 +178,10 @@
         lines.filter(|lines| lines.contains("was not renewed for sure")).count() > 0
     };
     wait_for("the lease is not renewed", told);
-    set_away(Away::No);
+    set_away(Outage::None);
     send(&deployment, 1, 2);
     wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
 
 /// Cheaper servers are ordered in place of those that there were, within the bounds of the configuration.
@@ -195,5 +195,5 @@
         let count = order.body["DesiredCount"].as_u64().expect("a count");
         assert!((0..=8).contains(&count) && order.body["Zone"] == "z", "{order:?}");
     }
-    assert_eq!(duties.fault(APART, &[]), None);
+    assert_eq!(duties.violation(APART, &[]), None);
 }
--- a/crates/drumusher/tests/routes/entries.rs
+++ b/crates/drumusher/tests/routes/entries.rs
@@ -45,7 +45,7 @@
     let deployment = Deployment::new(1);
     let announce = |born: u64| {
         for id in ["d1", "d2"] {
-            let entry = deployment.server(id).entry_born(DESK, "ready", born);
+            let entry = deployment.server(id).entry_started_at(DESK, "ready", born);
             deployment.store.put("keyed.servers", id, &entry);
         }
     };
@@ -56,7 +56,7 @@
     announce(1_000);
     wait_for("their first start is known", || known(1_000));
     for id in ["d1", "d2"] {
-        deployment.server(id).set(Fault::Mute);
+        deployment.server(id).set(Fault::Hang);
     }
     let call = Call::post("/book/", "a booking");
     std::thread::scope(|scope| {
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use drumusher_adapter_stand_in::{Away, server::body};
+use drumusher_adapter_stand_in::{Outage, server::body};
 use drumusher_bench::fleet::wait_for;
 use drumusher_schedule::rank::{self, CAPACITY, Candidate};
 use rstest::rstest;
@@ -14,12 +14,12 @@
 #[rstest]
 fn changes_are_passed_on_between_instances(
     #[values(0, 1, 2)] turned_away: usize,
-    #[values(Away::Busy, Away::Silent)] away: Away,
+    #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
     let deployment = Deployment::new(3);
     wait_for("they know each other", || known(&deployment, 3));
     let door = &deployment.instances[turned_away].door;
-    door.set_away(away);
+    door.set_outage(away);
     wait_for("no call of before is under way", || {
         let reads =
             last_of(&deployment.instances[turned_away].lines(), "reads the store for others");
@@ -72,7 +72,7 @@
 #[rstest]
 fn those_that_read_the_store_tell_each_other(
     #[values(0, 3)] left: usize,
-    #[values(Away::Busy, Away::Silent)] away: Away,
+    #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
     let deployment = Deployment::unconfigured(6);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
@@ -88,7 +88,7 @@
         deployment.instances[readers[left]].metric(&["entries_confirmed"]) >= SERVERS
     });
     for at in readers.iter().filter(|at| **at != readers[left]) {
-        deployment.instances[*at].door.set_away(away);
+        deployment.instances[*at].door.set_outage(away);
     }
     for at in readers.iter().filter(|at| **at != readers[left]) {
         let door = &deployment.instances[*at].door;
@@ -131,7 +131,7 @@
 fn an_instance_is_entered_by_another() {
     let mut deployment = Deployment::new(1);
     wait_for("the first one entered itself", || known(&deployment, 1));
-    let door = deployment.store.door().expect("a way to the store");
+    let door = deployment.store.endpoint().expect("a way to the store");
     door.set_read_only();
     deployment.add_instance_with("i1", door, "");
     wait_for("it is entered", || known(&deployment, 2));
@@ -159,7 +159,7 @@
 fn a_starting_instance_refuses_nothing() {
     let mut deployment = Deployment::empty(false);
     deployment.add_server("d1", DESK);
-    let door = deployment.store.door().expect("a way to the store");
+    let door = deployment.store.endpoint().expect("a way to the store");
     deployment.add_instance_with("i0", door, "[start]\nwait_ms = 45000\n");
     let call = Call::get("/read/").with("Drumusher-Deadline-Ms", "600000");
     let mut conn = deployment.connect(0).expect("a connection");
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -16,7 +16,9 @@
 
 use drumusher_adapter_stand_in::{
     Arrival, Fault, Notice, Server,
-    server::notice::{REST_ALLOWS, late, over_limit, unrested},
+    server::notice::{
+        MAX_REQUESTS_DURING_REST, max_requests_during_rest, over_limit, requests_after_leaving,
+    },
 };
 
 use drumusher_bench::fleet::{Mode, wait_for};
@@ -41,7 +43,7 @@
     let mut deployment = Deployment::empty(relayed);
     (0..servers).for_each(|number| deployment.add_server(&format!("d{number}"), DESK));
     for number in 0..instances {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
@@ -103,7 +105,7 @@
             scope.spawn(move || {
                 let deployment = deploy(3, servers);
                 let in_need = &deployment.servers[..limited];
-                in_need.iter().for_each(|server| server.say(Notice::limit("2.0")));
+                in_need.iter().for_each(|server| server.announce(Notice::limit("2.0")));
                 come(&deployment, RATE, Duration::from_secs(12));
                 for server in in_need {
                     let over = over(server, 2.0);
@@ -123,14 +125,14 @@
 fn one_that_says_that_it_leaves_gets_nothing_more() {
     let deployment = deploy(3, 3);
     let leaving = &deployment.servers[0];
-    leaving.say(Notice::leaving());
+    leaving.announce(Notice::leaving());
     for _ in 0..5 {
         come(&deployment, RATE, Duration::from_secs(1));
         let entry = leaving.entry(DESK, "ready").replace(r#""Slots":8"#, r#""Slots":7"#);
         deployment.store.put("keyed.servers", &leaving.id, &entry);
         deployment.store.put("keyed.servers", &leaving.id, &leaving.entry(DESK, "ready"));
     }
-    let late = late(&leaving.arrivals(), sender, LEFT_WITHIN);
+    let late = requests_after_leaving(&leaving.arrivals(), sender, LEFT_WITHIN);
     assert_eq!(late, 0, "of {} arrivals", leaving.arrivals().len());
 }
 
@@ -139,11 +141,11 @@
 fn one_that_asks_for_rest_gets_it() {
     let deployment = deploy(3, 3);
     let resting = &deployment.servers[0];
-    resting.say(Notice::rest("3"));
-    resting.set(Fault::Full);
+    resting.announce(Notice::rest("3"));
+    resting.set(Fault::Overloaded);
     come(&deployment, RATE, Duration::from_secs(8));
-    let most = unrested(&resting.arrivals(), sender);
-    assert!(most <= REST_ALLOWS, "{most} from one instance within a rest");
+    let most = max_requests_during_rest(&resting.arrivals(), sender);
+    assert!(most <= MAX_REQUESTS_DURING_REST, "{most} from one instance within a rest");
 }
 
 /// An operator sees who is limited, leaving or at rest, since when and by whose word, and that it changed; and that a
@@ -159,10 +161,10 @@
             words.iter().all(|words| rows.contains(words))
         });
     };
-    server.say(Notice::limit("abc"));
+    server.announce(Notice::limit("abc"));
     come(&deployment, RATE, Duration::from_millis(200));
-    server.set(Fault::Full);
-    server.say(Notice {
+    server.set(Fault::Overloaded);
+    server.announce(Notice {
         leaving: Some("1".into()),
         rest: Some("60".into()),
         ..Notice::limit("0.5")
@@ -202,7 +204,7 @@
 fn a_limit_is_kept_although_dispatchers_change(#[case] trouble: Trouble) {
     let mut deployment = deploy_behind(4, 3, true);
     let in_need = deployment.servers[0].clone();
-    in_need.say(Notice::limit("3"));
+    in_need.announce(Notice::limit("3"));
     come(&deployment, RATE, Duration::from_secs(4));
     for at in 0..4 {
         disturb(&mut deployment, at, trouble);
@@ -254,9 +256,9 @@
 fn a_limit_that_ends_is_noticed(#[case] limit: &str) {
     let deployment = deploy(2, 2);
     let server = &deployment.servers[0];
-    server.say(Notice::limit(limit));
+    server.announce(Notice::limit(limit));
     come(&deployment, RATE, Duration::from_secs(2));
-    server.say(Notice::default());
+    server.announce(Notice::default());
     let lifted = |at: usize| ask(&deployment.instances[at], "show notices").is_empty();
     wait_for("no limit is in force", || {
         come(&deployment, RATE, Duration::from_millis(200));
@@ -279,7 +281,7 @@
 #[case(Notice { leaving: Some("0".into()), ..Notice::default() })]
 fn nonsense_holds_up_nothing(#[case] notice: Notice) {
     let deployment = deploy(2, 1);
-    deployment.servers[0].say(notice);
+    deployment.servers[0].announce(notice);
     let statuses = come(&deployment, RATE, Duration::from_secs(1));
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
@@ -288,7 +290,7 @@
 #[test]
 fn who_cannot_be_served_within_the_limits_is_told_so() {
     let deployment = deploy(2, 2);
-    deployment.servers.iter().for_each(|server| server.say(Notice::limit("1")));
+    deployment.servers.iter().for_each(|server| server.announce(Notice::limit("1")));
     let statuses = come(&deployment, RATE, Duration::from_secs(4));
     assert!(statuses.iter().all(|status| [200, 429, 503].contains(status)), "{statuses:?}");
     let call = Call::get(&path(&deployment, 0));
@@ -309,8 +311,8 @@
 fn where_all_servers_rest_callers_are_told_how_long() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
-    server.say(Notice::rest("20"));
-    server.set(Fault::Full);
+    server.announce(Notice::rest("20"));
+    server.set(Fault::Overloaded);
     let call = Call::get(&path(&deployment, 0));
     assert_ne!(deployment.call(0, &call.anew()).expect("an answer").status, 200);
     server.set(Fault::None);
@@ -333,7 +335,7 @@
 /// The word comes beside any answer: of a plain request, one that is turned away, one that fails, or a stream.
 #[rstest]
 #[case(Fault::None, "/read/")]
-#[case(Fault::Full, "/read/")]
+#[case(Fault::Overloaded, "/read/")]
 #[case(Fault::Fails, "/read/")]
 #[case(Fault::Crossed, "/read/")]
 #[case(Fault::None, "/talk/")]
@@ -342,10 +344,10 @@
     let prefix = if path == "/read/" { "d" } else { "m" };
     let mut of_service = deployment.servers.iter().filter(|server| server.id.starts_with(prefix));
     let (leaving, other) = (of_service.next().expect("one"), of_service.next().expect("two"));
-    leaving.say(Notice::leaving());
+    leaving.announce(Notice::leaving());
     leaving.set(fault);
     // So that the first one is tried.
-    other.set(Fault::Full);
+    other.set(Fault::Overloaded);
     wait_for("the instance was told", || {
         let _ = deployment.call(0, &Call::get(path));
         deployment.instances[0].lines().contains("says that it leaves")
@@ -365,14 +367,14 @@
 fn a_new_start_ends_what_was_said() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
-    server.say(Notice::leaving());
+    server.announce(Notice::leaving());
     come(&deployment, RATE, Duration::from_millis(300));
     let reached = server.arrivals().len();
     let statuses = come(&deployment, RATE, Duration::from_secs(1));
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
     assert_eq!(server.arrivals().len(), reached);
-    server.say(Notice::default());
-    deployment.store.put("keyed.servers", &server.id, &server.entry_born(DESK, "ready", 9));
+    server.announce(Notice::default());
+    deployment.store.put("keyed.servers", &server.id, &server.entry_started_at(DESK, "ready", 9));
     for at in 0..2 {
         wait_for("it is served", || {
             let call = Call::get(&path(&deployment, at));
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -27,7 +27,7 @@
 };
 
 use drumusher_adapter_stand_in::{
-    Away,
+    Outage,
     duty::Duties,
     server::{body, events},
 };
@@ -128,7 +128,7 @@
     let mut broken = journal.broken(&deployment.servers);
     broken.extend(notice::broken(&deployment.servers, &journal));
     broken.extend(deployment.instances.iter().filter_map(promise::panicked));
-    broken.extend(duties.fault(APART, &journal.thawed()));
+    broken.extend(duties.violation(APART, &journal.thawed()));
     if !broken.is_empty() {
         deployment.keep();
     }
@@ -143,7 +143,7 @@
         deployment.add_server(&format!("m{number}"), MODEL);
     }
     for number in 0..INSTANCES {
-        let door = deployment.store.door().expect("a way to the store");
+        let door = deployment.store.endpoint().expect("a way to the store");
         deployment.add_instance_with(&format!("i{number}"), door, &settings(duties));
     }
     deployment.store.put("keyed.op", "config", &scalable(1, &promise::route(1)));
@@ -208,13 +208,13 @@
     let outages = |instance: &Instance| instance.lines().matches("what is in force stays").count();
     let before: Vec<usize> = deployment.instances.iter().map(outages).collect();
     for instance in &deployment.instances {
-        instance.door.set_away(Away::Reset);
+        instance.door.set_outage(Outage::Reset);
     }
     for (instance, before) in deployment.instances.iter().zip(before) {
         wait_for("the last outage is known", || outages(instance) > before);
     }
     for instance in &deployment.instances {
-        instance.door.set_away(Away::No);
+        instance.door.set_outage(Outage::None);
     }
 }
 
--- a/crates/drumusher/tests/routes/streams.rs
+++ b/crates/drumusher/tests/routes/streams.rs
@@ -52,8 +52,8 @@
 /// Before its first event a stream that may not be resumed ends with a clear answer.
 #[rstest]
 #[case(Fault::Reset, 502)]
-#[case(Fault::Mute, 504)]
-#[case(Fault::Full, 503)]
+#[case(Fault::Hang, 504)]
+#[case(Fault::Overloaded, 503)]
 fn a_stream_that_never_began_has_a_clear_answer(#[case] fault: Fault, #[case] status: u16) {
     let deployment = Deployment::new(1);
     deployment.server("m1").set(fault);
@@ -67,7 +67,7 @@
 #[test]
 fn a_silent_server_is_left() {
     let deployment = Deployment::new(1);
-    deployment.server("m1").set(Fault::Mute);
+    deployment.server("m1").set(Fault::Hang);
     for _ in 0..3 {
         let call = Call::post("/talk/", "x");
         let answer = deployment.call(0, &call).expect("an answer");
@@ -111,7 +111,9 @@
     let mut piece = [0; 64];
     assert!(conn.read(&mut piece).expect("the first events") > 0);
     drop(conn);
-    let gone = || deployment.server("m1").gone() + deployment.server("m2").gone();
+    let gone = || {
+        deployment.server("m1").client_disconnects() + deployment.server("m2").client_disconnects()
+    };
     wait_for("the engine sees the close", || gone() == 1);
 }
 
@@ -133,7 +135,7 @@
         let ran = |id: &str, at: usize| servers[at].runs().iter().any(|run| run.id == id);
         let keeper = usize::from(ran(&first.id, 1));
         // While it is silent over a long prompt, it is believed to read.
-        servers[keeper].set(Fault::Mute);
+        servers[keeper].set(Fault::Hang);
         let long = prompt(shared, 9_000, 90_000);
         let mut busy = deployment.connect(0).expect("a connection");
         busy.write_all(&long.bytes()).expect("sent");
@@ -158,7 +160,7 @@
     let tokens = 9_000;
     let kept = |server: u64| (0..6).map(move |n| (100 * server + n, tokens)).collect::<Vec<_>>();
     for (server, id) in [(1, "m1"), (2, "m2")] {
-        deployment.server(id).keep(&kept(server));
+        deployment.server(id).set_cached_parts(&kept(server));
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     deployment.wait_serving();
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -21,14 +21,14 @@
     Pool::Service("desk".into())
 }
 
-fn server(name: &str, born_ms: Option<u64>) -> Backend {
+fn server(name: &str, started_ms: Option<u64>) -> Backend {
     Backend {
         name: name.into(),
         area: "r".into(),
         address: "127.0.0.1:1".into(),
         slots: 8,
         leaving: false,
-        born_ms,
+        started_ms,
         availability_zone: "z".into(),
         spot: false,
     }
@@ -145,7 +145,7 @@
 #[case(Notice::default(), NOW - SECOND, false)]
 #[case(Notice::default(), NOW + 500 * MILLISECOND, false)]
 #[case(Notice::default(), NOW + 1_500 * MILLISECOND, true)]
-#[case(Notice { unclear: true, ..Notice::default() }, NOW + 1_500 * MILLISECOND, false)]
+#[case(Notice { malformed: true, ..Notice::default() }, NOW + 1_500 * MILLISECOND, false)]
 fn what_lifts_a_limit(#[case] notice: Notice, #[case] sent: Micros, #[case] lifted: bool) {
     let (notices, server) = (Notices::default(), server("a", None));
     hear(&notices, NOW, &server, limit(0));
