--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -26,7 +26,7 @@
     routed::{
         Worker,
         callers::Callers,
-        entry::{self, Never},
+        handler::{self, Never},
         refusal,
     },
     settings::Settings,
@@ -138,7 +138,7 @@
         rt::spawn(prune(worker.conns.clone()));
         let worker = Rc::new(worker);
         HttpService::h1(ntex::fn_service(move |request: http::Request| {
-            entry::serve(worker.clone(), request)
+            handler::serve(worker.clone(), request)
         }))
     });
     let builder = builder.map_err(|e| e.to_string())?;
--- a/crates/drumusher/src/routed/exchange/end.rs
+++ b/crates/drumusher/src/routed/exchange/end.rs
@@ -8,7 +8,7 @@
 use crate::{
     error::{Error, Kind, Ran},
     process::clock,
-    routed::{entry, refusal},
+    routed::{handler, refusal},
     upstream::{self, answer},
     version::Backend,
 };
@@ -91,7 +91,7 @@
         let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let mut builder = Response::build(status);
         for (name, value) in &head.headers {
-            if !entry::concerns_connection(name.as_str()) {
+            if !handler::concerns_connection(name.as_str()) {
                 builder.header(name.clone(), value.clone());
             }
         }
--- a/crates/drumusher/src/routed/mod.rs
+++ b/crates/drumusher/src/routed/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | module | duty |
 //! |---|---|
-//! | [`entry`] | takes a caller's request, finds its route and workspace |
+//! | [`handler`] | takes a caller's request, finds its route and workspace |
 //! | [`digest`] | what tells a request from others when it comes anew |
 //! | [`callers`] | callers' connections, for a planned stop |
 //! | [`ticket`] | one request's place at the dispatcher: ask, reports, end |
@@ -13,8 +13,8 @@
 
 pub mod callers;
 pub mod digest;
-pub mod entry;
 pub mod exchange;
+pub mod handler;
 pub mod refusal;
 pub mod relay;
 pub mod ticket;
