--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -25,7 +25,7 @@
     operator,
     routed::{
         Worker,
-        callers::Callers,
+        client_connections::ClientConnections,
         handler::{self, Never},
         refusal,
     },
@@ -132,9 +132,9 @@
             shared: shared.clone(),
             dialect: dialect.clone(),
             conns: upstream::Pool::new(),
-            callers: Callers::new(),
+            client_connections: ClientConnections::new(),
         };
-        rt::spawn(close_resting(shared.clone(), worker.callers.clone()));
+        rt::spawn(close_resting(shared.clone(), worker.client_connections.clone()));
         rt::spawn(prune(worker.conns.clone()));
         let worker = Rc::new(worker);
         HttpService::h1(ntex::fn_service(move |request: http::Request| {
@@ -154,7 +154,7 @@
 }
 
 /// Closes callers' connections that rest, once a planned stop has lasted for a while.
-async fn close_resting(shared: Arc<Shared>, callers: Callers) {
+async fn close_resting(shared: Arc<Shared>, callers: ClientConnections) {
     loop {
         sleep(LOOK).await;
         if shared.stopping_for().is_some_and(|time| time > CLOSE_AFTER) {
--- a/crates/drumusher/src/routed/callers.rs
+++ b/crates/drumusher/src/routed/client_connections.rs
@@ -20,21 +20,21 @@
 
 /// The callers' connections of one HTTP worker.
 #[derive(Clone, Debug, Default)]
-pub struct Callers {
+pub struct ClientConnections {
     inner: Rc<RefCell<Inner>>,
 }
 
 /// Marks a connection as in use while it lives.
 #[derive(Debug)]
 pub struct Use {
-    callers: Callers,
+    callers: ClientConnections,
     io: IoRef,
 }
 
-impl Callers {
+impl ClientConnections {
     /// No connections yet.
     pub fn new() -> Self {
-        Callers::default()
+        ClientConnections::default()
     }
 
     /// A request came on a connection.
--- a/crates/drumusher/src/routed/exchange/request.rs
+++ b/crates/drumusher/src/routed/exchange/request.rs
@@ -8,7 +8,7 @@
     util::Bytes,
 };
 
-use crate::{routed::callers::Use, version::Match};
+use crate::{routed::client_connections::Use, version::Match};
 
 /// Bytes set aside for a head at first; a longer one only costs another allocation.
 const HEAD: usize = 1_024;
--- a/crates/drumusher/src/routed/handler.rs
+++ b/crates/drumusher/src/routed/handler.rs
@@ -118,7 +118,7 @@
     let found = found.map_err(denied)?;
     let hold = Hold::new(shared.clone())?;
     let caller = request.io().cloned();
-    let in_use = caller.as_ref().map(|io| worker.callers.enter(io));
+    let in_use = caller.as_ref().map(|io| worker.client_connections.enter(io));
     let body = body(&mut request, limits, shared.settings.limits.body_ms).await?;
     let headers = passed(&worker.dialect, request.headers());
     let method = request.method().clone();
--- a/crates/drumusher/src/routed/mod.rs
+++ b/crates/drumusher/src/routed/mod.rs
@@ -5,13 +5,13 @@
 //! |---|---|
 //! | [`handler`] | takes a caller's request, finds its route and workspace |
 //! | [`digest`] | what tells a request from others when it comes anew |
-//! | [`callers`] | callers' connections, for a planned stop |
+//! | [`client_connections`] | callers' connections, for a planned stop |
 //! | [`ticket`] | one request's place at the dispatcher: ask, reports, end |
 //! | [`exchange`] | attempts at backend servers until there is an answer or none is possible |
 //! | [`relay`] | passes a stream of events on, and resumes it elsewhere where it may be |
 //! | [`refusal`] | answers of the instance's own |
 
-pub mod callers;
+pub mod client_connections;
 pub mod digest;
 pub mod exchange;
 pub mod handler;
@@ -33,7 +33,7 @@
     /// Connections to backend servers.
     pub conns: upstream::Pool,
     /// Connections of callers.
-    pub callers: callers::Callers,
+    pub client_connections: client_connections::ClientConnections,
 }
 
 /// A worker as its requests hold it.
