--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -158,7 +158,7 @@
     loop {
         sleep(LOOK).await;
         if shared.stopping_for().is_some_and(|time| time > CLOSE_AFTER) {
-            let closed = callers.close_resting();
+            let closed = callers.close_idle();
             if closed > 0 {
                 log::info!(closed = closed; "stopping: connections that rest are closed");
             }
--- a/crates/drumusher/src/routed/client_connections.rs
+++ b/crates/drumusher/src/routed/client_connections.rs
@@ -49,7 +49,7 @@
     }
 
     /// Closes the connections on which no request is under way. Returns how many.
-    pub fn close_resting(&self) -> usize {
+    pub fn close_idle(&self) -> usize {
         let mut inner = self.inner.borrow_mut();
         let before = inner.open.len();
         inner.open.retain(|io, requests| {
