--- a/crates/drumusher/src/routed/exchange.rs
+++ b/crates/drumusher/src/routed/exchange.rs
@@ -47,7 +47,7 @@
 use crate::{
     process::{clock, notices::Basis},
     request::{hold::Hold, id},
-    upstream::{self, Conn, answer::Piece},
+    upstream::{self, Conn, response::Piece},
     version::{Backend, Pool},
 };
 
--- a/crates/drumusher/src/routed/exchange/answer.rs
+++ b/crates/drumusher/src/routed/exchange/answer.rs
@@ -9,7 +9,7 @@
     routed::relay::Relay,
     upstream::{
         self, Conn,
-        answer::{self, Piece},
+        response::{self, Piece},
     },
     version::Backend,
 };
@@ -22,7 +22,7 @@
 /// An answer with its whole body.
 #[derive(Debug)]
 pub struct Whole {
-    pub(super) head: answer::Head,
+    pub(super) head: response::Head,
     pub(super) body: Bytes,
 }
 
@@ -40,7 +40,7 @@
         &mut self,
         conn: &mut Conn,
         until: Micros,
-    ) -> Result<(answer::Head, Answer), Failure> {
+    ) -> Result<(response::Head, Answer), Failure> {
         for _ in 0..=MOST_CROSSED {
             let head = loop {
                 match self.piece(conn, until).await.map_err(Failure::Broken)? {
--- a/crates/drumusher/src/routed/exchange/end.rs
+++ b/crates/drumusher/src/routed/exchange/end.rs
@@ -9,7 +9,7 @@
     error::{Error, Kind, Ran},
     process::clock,
     routed::{handler, refusal},
-    upstream::{self, answer},
+    upstream::{self, response},
     version::Backend,
 };
 
@@ -87,7 +87,7 @@
     }
 
     /// The head of an answer as it goes to the caller.
-    pub fn head_of(&self, head: &answer::Head) -> ResponseBuilder {
+    pub fn head_of(&self, head: &response::Head) -> ResponseBuilder {
         let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let mut builder = Response::build(status);
         for (name, value) in &head.headers {
--- a/crates/drumusher/src/routed/relay.rs
+++ b/crates/drumusher/src/routed/relay.rs
@@ -21,7 +21,7 @@
     process::clock,
     upstream::{
         Conn, Error,
-        answer::{Head, Piece},
+        response::{Head, Piece},
     },
     version::Backend,
 };
--- a/crates/drumusher/src/upstream/conn.rs
+++ b/crates/drumusher/src/upstream/conn.rs
@@ -16,7 +16,7 @@
 
 use super::{
     Error,
-    answer::{Codec, Head, Piece},
+    response::{Codec, Head, Piece},
 };
 use crate::process::clock;
 
--- a/crates/drumusher/src/upstream/mod.rs
+++ b/crates/drumusher/src/upstream/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! The client of the HTTP library hides what at-most-once and whole answers need to know: whether a
 //! connection was new, whether bytes came that belong to no request, and which of two answers on
-//! one connection is whose. So the exchange stands here: [`answer`] cuts bytes into answers (heads
+//! one connection is whose. So the exchange stands here: [`response`] cuts bytes into answers (heads
 //! are parsed by `httparse`), [`conn`] is one connection, [`pool`] keeps the idle ones.
 
-pub mod answer;
 pub mod conn;
 pub mod pool;
+pub mod response;
 
 pub use conn::{Conn, Presence, presence};
 pub use pool::Pool;
--- a/crates/drumusher/tests/unit/answer.rs
+++ b/crates/drumusher/tests/unit/answer.rs
@@ -1,6 +1,6 @@
 //! Cutting the bytes of a connection into answers.
 
-use drumusher::upstream::answer::{Codec, Piece};
+use drumusher::upstream::response::{Codec, Piece};
 use ntex::{codec::Decoder, util::BytesMut};
 use proptest::prelude::*;
 use rstest::rstest;
