--- a/crates/drumusher/src/routed/exchange.rs
+++ b/crates/drumusher/src/routed/exchange.rs
@@ -47,7 +47,7 @@
 use crate::{
     process::{clock, notices::Basis},
     request::{hold::Hold, id},
-    upstream::{self, Conn, response::Piece},
+    upstream::{self, Conn, response::Part},
     version::{Backend, Pool},
 };
 
@@ -289,7 +289,7 @@
     /// # Errors
     ///
     /// As [`Conn::piece`].
-    pub async fn piece(&self, conn: &mut Conn, until: Micros) -> Result<Piece, upstream::Error> {
+    pub async fn piece(&self, conn: &mut Conn, until: Micros) -> Result<Part, upstream::Error> {
         conn.piece(until, || self.started_again()).await
     }
 
--- a/crates/drumusher/src/routed/exchange/answer.rs
+++ b/crates/drumusher/src/routed/exchange/answer.rs
@@ -9,7 +9,7 @@
     routed::relay::Relay,
     upstream::{
         self, Conn,
-        response::{self, Piece},
+        response::{self, Part},
     },
     version::Backend,
 };
@@ -44,8 +44,8 @@
         for _ in 0..=MOST_CROSSED {
             let head = loop {
                 match self.piece(conn, until).await.map_err(Failure::Broken)? {
-                    Piece::Head(head) => break head,
-                    Piece::Data(_) | Piece::End => {}
+                    Part::Head(head) => break head,
+                    Part::Data(_) | Part::End => {}
                 }
             };
             let answer = self.worker.dialect.read_answer(head.status, &head.headers);
@@ -63,7 +63,7 @@
                 return Err(Failure::Broken(upstream::Error::Malformed));
             }
             loop {
-                if let Piece::End = self.piece(conn, until).await.map_err(Failure::Broken)? {
+                if let Part::End = self.piece(conn, until).await.map_err(Failure::Broken)? {
                     break;
                 }
             }
@@ -77,9 +77,9 @@
         let mut body = BytesMut::new();
         loop {
             match self.piece(conn, self.due).await? {
-                Piece::Data(bytes) => body.extend_from_slice(&bytes),
-                Piece::End => return Ok(body.freeze()),
-                Piece::Head(_) => return Err(upstream::Error::Malformed),
+                Part::Data(bytes) => body.extend_from_slice(&bytes),
+                Part::End => return Ok(body.freeze()),
+                Part::Head(_) => return Err(upstream::Error::Malformed),
             }
             if body.len() > LONGEST {
                 return Err(upstream::Error::Malformed);
--- a/crates/drumusher/src/routed/relay.rs
+++ b/crates/drumusher/src/routed/relay.rs
@@ -21,7 +21,7 @@
     process::clock,
     upstream::{
         Conn, Error,
-        response::{Head, Piece},
+        response::{Head, Part},
     },
     version::Backend,
 };
@@ -120,15 +120,15 @@
     }
 
     /// Takes a piece of the stream.
-    fn take(&mut self, exchange: &mut Exchange<D>, piece: Piece) -> Result<(), Error> {
+    fn take(&mut self, exchange: &mut Exchange<D>, piece: Part) -> Result<(), Error> {
         match piece {
-            Piece::Head(_) => Err(Error::Malformed),
-            Piece::Data(bytes) => {
+            Part::Head(_) => Err(Error::Malformed),
+            Part::Data(bytes) => {
                 self.rest.extend_from_slice(&bytes);
                 self.cut(exchange)
             }
-            Piece::End if self.head.until_close && !self.rest.is_empty() => Err(Error::Closed),
-            Piece::End => {
+            Part::End if self.head.until_close && !self.rest.is_empty() => Err(Error::Closed),
+            Part::End => {
                 self.ready.extend_from_slice(&self.rest);
                 self.rest.clear();
                 self.whole = true;
--- a/crates/drumusher/src/upstream/conn.rs
+++ b/crates/drumusher/src/upstream/conn.rs
@@ -16,7 +16,7 @@
 
 use super::{
     Error,
-    response::{Codec, Head, Piece},
+    response::{Codec, Head, Part},
 };
 use crate::process::clock;
 
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// Any [`Error`] but [`Error::NotConnected`]; the connection is of no use then.
-    pub async fn piece(&mut self, until: Micros, gone: impl Fn() -> bool) -> Result<Piece, Error> {
+    pub async fn piece(&mut self, until: Micros, gone: impl Fn() -> bool) -> Result<Part, Error> {
         let received = loop {
             let left = until.saturating_sub(clock::now()) / MILLISECOND;
             let slice = left.clamp(1, u64::from(LOOK.0)) as u32;
@@ -115,7 +115,7 @@
             Ok(Ok(Some(piece))) => Ok(piece),
             Ok(Ok(None)) if self.codec.ends_with_connection() && self.ended_in_order() => {
                 self.sound = false;
-                Ok(Piece::End)
+                Ok(Part::End)
             }
             Ok(Ok(None)) => Err(self.broken()),
             Ok(Err(Either::Left(error))) => Err(error),
@@ -123,7 +123,7 @@
             Ok(Err(Either::Right(_))) => Err(Error::Closed),
         };
         match &piece {
-            Ok(Piece::Head(head)) => self.note(head),
+            Ok(Part::Head(head)) => self.note(head),
             Ok(_) => {}
             Err(_) => self.sound = false,
         }
--- a/crates/drumusher/src/upstream/response.rs
+++ b/crates/drumusher/src/upstream/response.rs
@@ -24,7 +24,7 @@
 
 /// A piece of an answer.
 #[derive(Clone, Debug)]
-pub enum Piece {
+pub enum Part {
     /// The beginning.
     Head(Head),
     /// Bytes of the body.
@@ -96,7 +96,7 @@
         self.state.get() == State::UntilClose
     }
 
-    fn head(&self, source: &mut BytesMut) -> Result<Option<Piece>, Error> {
+    fn head(&self, source: &mut BytesMut) -> Result<Option<Part>, Error> {
         loop {
             let Some((head, length)) = parse(source)? else {
                 return Ok(None);
@@ -109,7 +109,7 @@
             self.state.set(self.body(&head)?);
             let until_close = self.state.get() == State::UntilClose;
             let keep_alive = head.keep_alive && !until_close;
-            return Ok(Some(Piece::Head(Head { until_close, keep_alive, ..head })));
+            return Ok(Some(Part::Head(Head { until_close, keep_alive, ..head })));
         }
     }
 
@@ -134,14 +134,14 @@
     }
 
     /// The next piece of a body with `left` bytes to come, which `then` follows.
-    fn data(&self, source: &mut BytesMut, left: u64, more: fn(u64) -> State) -> Option<Piece> {
+    fn data(&self, source: &mut BytesMut, left: u64, more: fn(u64) -> State) -> Option<Part> {
         if source.is_empty() {
             return None;
         }
         let take = (source.len() as u64).min(left) as usize;
         let bytes = source.split_to(take);
         self.state.set(more(left - take as u64));
-        Some(Piece::Data(bytes))
+        Some(Part::Data(bytes))
     }
 
     /// Takes a whole line without its end.
@@ -156,17 +156,17 @@
 }
 
 impl Decoder for Codec {
-    type Item = Piece;
+    type Item = Part;
     type Error = Error;
 
-    fn decode(&self, source: &mut BytesMut) -> Result<Option<Piece>, Error> {
+    fn decode(&self, source: &mut BytesMut) -> Result<Option<Part>, Error> {
         loop {
             match self.state.get() {
                 State::Idle => return Ok(None),
                 State::Head => return self.head(source),
                 State::Length(0) => {
                     self.state.set(State::Idle);
-                    return Ok(Some(Piece::End));
+                    return Ok(Some(Part::End));
                 }
                 State::Length(left) => return Ok(self.data(source, left, State::Length)),
                 State::UntilClose => {
@@ -197,7 +197,7 @@
                     };
                     if line.is_empty() {
                         self.state.set(State::Idle);
-                        return Ok(Some(Piece::End));
+                        return Ok(Some(Part::End));
                     }
                 }
             }
--- a/crates/drumusher/tests/unit/answer.rs
+++ b/crates/drumusher/tests/unit/answer.rs
@@ -1,6 +1,6 @@
 //! Cutting the bytes of a connection into answers.
 
-use drumusher::upstream::response::{Codec, Piece};
+use drumusher::upstream::response::{Codec, Part};
 use ntex::{codec::Decoder, util::BytesMut};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -16,9 +16,9 @@
         source.extend_from_slice(piece);
         while let Some(piece) = codec.decode(&mut source).ok()? {
             match piece {
-                Piece::Head(head) => status = head.status,
-                Piece::Data(bytes) => body.extend_from_slice(&bytes),
-                Piece::End => whole = true,
+                Part::Head(head) => status = head.status,
+                Part::Data(bytes) => body.extend_from_slice(&bytes),
+                Part::End => whole = true,
             }
         }
     }
