--- a/crates/drumusher/src/routed/exchange.rs
+++ b/crates/drumusher/src/routed/exchange.rs
@@ -289,8 +289,8 @@
     /// # Errors
     ///
     /// As [`Conn::piece`].
-    pub async fn piece(&self, conn: &mut Conn, until: Micros) -> Result<Part, upstream::Error> {
-        conn.piece(until, || self.started_again()).await
+    pub async fn next_part(&self, conn: &mut Conn, until: Micros) -> Result<Part, upstream::Error> {
+        conn.next_part(until, || self.started_again()).await
     }
 
     /// Whether the backend server of the latest attempt started again meanwhile.
--- a/crates/drumusher/src/routed/exchange/answer.rs
+++ b/crates/drumusher/src/routed/exchange/answer.rs
@@ -43,7 +43,7 @@
     ) -> Result<(response::Head, Answer), Failure> {
         for _ in 0..=MOST_CROSSED {
             let head = loop {
-                match self.piece(conn, until).await.map_err(Failure::Broken)? {
+                match self.next_part(conn, until).await.map_err(Failure::Broken)? {
                     Part::Head(head) => break head,
                     Part::Data(_) | Part::End => {}
                 }
@@ -63,7 +63,7 @@
                 return Err(Failure::Broken(upstream::Error::Malformed));
             }
             loop {
-                if let Part::End = self.piece(conn, until).await.map_err(Failure::Broken)? {
+                if let Part::End = self.next_part(conn, until).await.map_err(Failure::Broken)? {
                     break;
                 }
             }
@@ -76,7 +76,7 @@
     pub(super) async fn body(&mut self, conn: &mut Conn) -> Result<Bytes, upstream::Error> {
         let mut body = BytesMut::new();
         loop {
-            match self.piece(conn, self.due).await? {
+            match self.next_part(conn, self.due).await? {
                 Part::Data(bytes) => body.extend_from_slice(&bytes),
                 Part::End => return Ok(body.freeze()),
                 Part::Head(_) => return Err(upstream::Error::Malformed),
--- a/crates/drumusher/src/routed/relay.rs
+++ b/crates/drumusher/src/routed/relay.rs
@@ -105,7 +105,7 @@
         until: Micros,
     ) -> Result<(), Error> {
         while self.ready.is_empty() && !self.whole {
-            let piece = exchange.piece(conn, until).await?;
+            let piece = exchange.next_part(conn, until).await?;
             self.take(exchange, piece)?;
         }
         let first = clock::now() - self.began;
@@ -206,7 +206,7 @@
     async fn advance(&mut self) -> Result<(), Error> {
         let until = self.silent_until();
         let conn = self.conn.as_mut().ok_or(Error::Closed)?;
-        let piece = self.exchange.piece(conn, until).await?;
+        let piece = self.exchange.next_part(conn, until).await?;
         self.relay.take(&mut self.exchange, piece)
     }
 
--- a/crates/drumusher/src/upstream/conn.rs
+++ b/crates/drumusher/src/upstream/conn.rs
@@ -97,7 +97,11 @@
     /// # Errors
     ///
     /// Any [`Error`] but [`Error::NotConnected`]; the connection is of no use then.
-    pub async fn piece(&mut self, until: Micros, gone: impl Fn() -> bool) -> Result<Part, Error> {
+    pub async fn next_part(
+        &mut self,
+        until: Micros,
+        gone: impl Fn() -> bool,
+    ) -> Result<Part, Error> {
         let received = loop {
             let left = until.saturating_sub(clock::now()) / MILLISECOND;
             let slice = left.clamp(1, u64::from(LOOK.0)) as u32;
--- a/crates/drumusher/tests/suspension.rs
+++ b/crates/drumusher/tests/suspension.rs
@@ -113,7 +113,7 @@
             let mut conn =
                 upstream::Conn::connect(address, Millis(10_000)).await.expect("it is up");
             let until = clock::now() + hour;
-            conn.piece(until, || false).await.map(|_| ())
+            conn.next_part(until, || false).await.map(|_| ())
         })
     });
     let accepted = listening.join().expect("it ends").expect("a connection");
