--- a/crates/drumusher/src/request/place.rs
+++ b/crates/drumusher/src/request/arrival_token.rs
@@ -24,13 +24,13 @@
 }
 
 /// A token for a request that arrived at `arrived_ms` since 1970.
-pub fn token(secret: &str, workspace: &str, class: &str, arrived_ms: u64) -> String {
+pub fn issue(secret: &str, workspace: &str, class: &str, arrived_ms: u64) -> String {
     let signature = mac(secret, workspace, class, arrived_ms).finalize().into_bytes();
     format!("{arrived_ms:x}.{}", hex::encode(&signature[..SIGNATURE]))
 }
 
 /// The arrival in a token, if it is genuine and of this workspace and class.
-pub fn arrival(secret: &str, workspace: &str, class: &str, token: &str) -> Option<u64> {
+pub fn verify(secret: &str, workspace: &str, class: &str, token: &str) -> Option<u64> {
     let (arrived, signature) = token.split_once('.')?;
     let arrived_ms = u64::from_str_radix(arrived, 16).ok()?;
     let signature = hex::decode(signature).ok().filter(|bytes| bytes.len() == SIGNATURE)?;
--- a/crates/drumusher/src/request/flow.rs
+++ b/crates/drumusher/src/request/flow.rs
@@ -12,7 +12,7 @@
 use log::Level;
 use ntex::time::{Millis, sleep, timeout};
 
-use super::{head::Head, hold::Hold, id, place, trace::Span};
+use super::{arrival_token, head::Head, hold::Hold, id, trace::Span};
 use crate::{
     error::{Error, Kind, Ran},
     process::{
@@ -236,7 +236,7 @@
         self.ended(kind.code());
         let head = &self.head;
         let secret = &self.shared.settings.fleet_secret;
-        let place = place::token(secret, &head.workspace, &head.class, head.arrived_ms);
+        let place = arrival_token::issue(secret, &head.workspace, &head.class, head.arrived_ms);
         let error = Error::new(kind, message).with_retry_after(retry_after_ms).with_place(place);
         if self.produced > 0 || self.attempts > 0 && !self.repeatable {
             return error.with_ran(Ran::Unknown);
--- a/crates/drumusher/src/request/head.rs
+++ b/crates/drumusher/src/request/head.rs
@@ -5,7 +5,7 @@
 use drumusher_log::config::Class;
 use ntex::http::HeaderMap;
 
-use super::place;
+use super::arrival_token;
 use crate::{
     error::{Error, Kind, PLACE_HEADER},
     process::{Shared, clock},
@@ -58,7 +58,7 @@
         let now_ms = clock::unix_ms();
         let token = text(headers, PLACE_HEADER);
         let secret = &shared.settings.fleet_secret;
-        let kept = token.and_then(|token| place::arrival(secret, &workspace, &class, token));
+        let kept = token.and_then(|token| arrival_token::verify(secret, &workspace, &class, token));
         let arrived_ms = kept.unwrap_or(now_ms);
         let arrived = clock::now() - (now_ms - arrived_ms) * 1_000;
         Ok(Head { version, workspace, class, settings, arrived, arrived_ms, idempotency_key })
--- a/crates/drumusher/src/request/mod.rs
+++ b/crates/drumusher/src/request/mod.rs
@@ -1,6 +1,7 @@
 //! What lives as long as one caller's request.
 
 pub mod answer;
+pub mod arrival_token;
 pub mod attempt;
 pub mod claim;
 pub mod completion;
@@ -9,7 +10,6 @@
 pub mod hold;
 pub mod http;
 pub mod id;
-pub mod place;
 pub mod relay;
 pub mod retry;
 pub mod service;
--- a/crates/drumusher/tests/unit/place.rs
+++ b/crates/drumusher/tests/unit/place.rs
@@ -2,7 +2,7 @@
 
 use drumusher::{
     process::clock,
-    request::place::{arrival, token},
+    request::arrival_token::{issue, verify},
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -12,8 +12,8 @@
 #[test]
 fn a_genuine_token_keeps_the_arrival() {
     let arrived = clock::unix_ms() - 5_000;
-    let token = token(SECRET, "vanua", "pickup", arrived);
-    assert_eq!(arrival(SECRET, "vanua", "pickup", &token), Some(arrived));
+    let token = issue(SECRET, "vanua", "pickup", arrived);
+    assert_eq!(verify(SECRET, "vanua", "pickup", &token), Some(arrived));
 }
 
 #[rstest]
@@ -27,19 +27,19 @@
     #[case] class: &str,
     #[case] age: u64,
 ) {
-    let token = token(secret, workspace, class, clock::unix_ms() - age);
-    assert_eq!(arrival(SECRET, "vanua", "pickup", &token), None);
+    let token = issue(secret, workspace, class, clock::unix_ms() - age);
+    assert_eq!(verify(SECRET, "vanua", "pickup", &token), None);
 }
 
 #[test]
 fn an_arrival_in_the_future_is_worth_nothing() {
-    let token = token(SECRET, "vanua", "pickup", clock::unix_ms() + 60_000);
-    assert_eq!(arrival(SECRET, "vanua", "pickup", &token), None);
+    let token = issue(SECRET, "vanua", "pickup", clock::unix_ms() + 60_000);
+    assert_eq!(verify(SECRET, "vanua", "pickup", &token), None);
 }
 
 proptest! {
     #[test]
     fn any_text_is_refused_without_a_panic(text in ".{0,80}") {
-        prop_assert_eq!(arrival(SECRET, "vanua", "pickup", &text), None);
+        prop_assert_eq!(verify(SECRET, "vanua", "pickup", &text), None);
     }
 }
