--- a/crates/drumusher/src/request/answer.rs
+++ b/crates/drumusher/src/request/answer.rs
@@ -3,7 +3,7 @@
 use ntex::{http::header::HeaderValue, web::HttpResponse};
 use serde_json::{Value, json};
 
-use super::{completion::Form, head::REQUEST_ID_HEADER, id, relay::Scanner, trace::Span};
+use super::{completion::Form, head::REQUEST_ID_HEADER, id, sse::Scanner, trace::Span};
 
 /// The header that names the trace of a request.
 pub const TRACE_HEADER: &str = "Drumusher-Trace";
--- a/crates/drumusher/src/request/stream.rs
+++ b/crates/drumusher/src/request/stream.rs
@@ -13,7 +13,7 @@
     claim::Claim,
     completion::Form,
     flow::{DONE, Flow},
-    relay::Scanner,
+    sse::Scanner,
     trace::Span,
 };
 use crate::{
--- a/crates/drumusher/tests/unit/relay.rs
+++ b/crates/drumusher/tests/unit/relay.rs
@@ -1,6 +1,6 @@
 //! Reading event streams: whole events only, each token once, nothing lost.
 
-use drumusher::request::relay::{Error, Scanner};
+use drumusher::request::sse::{Error, Scanner};
 use proptest::prelude::*;
 use rstest::rstest;
 
