--- a/crates/drumusher/src/request/completion.rs
+++ b/crates/drumusher/src/request/completion.rs
@@ -8,7 +8,9 @@
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{answer, claim, flow::Flow, head::Head, hold::Hold, id, stream::Stream, trace::Span};
+use super::{
+    answer, claim, flow::Flow, head::Head, id, in_flight::InFlight, stream::Stream, trace::Span,
+};
 use crate::{
     error::{Error, Kind},
     process::Shared,
@@ -55,11 +57,11 @@
     form: Form,
     headers: &HeaderMap,
     body: Bytes,
-    hold: Hold,
+    in_flight: InFlight,
 ) -> HttpResponse {
     let span = Span::entry(shared.telemetry.tracer(), headers);
     let request_id = id::random();
-    let served = start(shared, client, form, headers, body, hold, (request_id, &span)).await;
+    let served = start(shared, client, form, headers, body, in_flight, (request_id, &span)).await;
     let mut response = served.unwrap_or_else(|error| {
         span.fail(error.kind.code());
         error.response()
@@ -74,7 +76,7 @@
     form: Form,
     headers: &HeaderMap,
     body: Bytes,
-    hold: Hold,
+    in_flight: InFlight,
     (request_id, span): (u128, &Span),
 ) -> Result<HttpResponse, Error> {
     let head = Head::read(&shared, headers)?;
@@ -95,7 +97,7 @@
         }
         _ => None,
     };
-    let mut flow = Flow::new(hold, request_id, head, pool, span.clone());
+    let mut flow = Flow::new(in_flight, request_id, head, pool, span.clone());
     flow.prompt = request.prompt;
     flow.prefix = request.prefix;
     let streamed = request.streamed;
--- a/crates/drumusher/src/request/flow.rs
+++ b/crates/drumusher/src/request/flow.rs
@@ -12,7 +12,7 @@
 use log::Level;
 use ntex::time::{Millis, sleep, timeout};
 
-use super::{arrival_token, head::Head, hold::Hold, id, trace::Span};
+use super::{arrival_token, head::Head, id, in_flight::InFlight, trace::Span};
 use crate::{
     error::{Error, Kind, Ran},
     process::{
@@ -72,14 +72,14 @@
     pause: Micros,
     /// How it ended, for its log line.
     outcome: Cell<&'static str>,
-    _hold: Hold,
+    _in_flight: InFlight,
 }
 
 impl Flow {
     /// A request that arrived.
-    pub fn new(hold: Hold, id: Id, head: Head, pool: Pool, span: Span) -> Self {
+    pub fn new(in_flight: InFlight, id: Id, head: Head, pool: Pool, span: Span) -> Self {
         let (sender, replies) = async_channel::bounded(REPLIES);
-        let shared = hold.shared();
+        let shared = in_flight.shared();
         span.note("drumusher.request_id", id::to_text(id));
         span.note("drumusher.workspace", head.workspace.to_string());
         span.note("drumusher.class", head.class.to_string());
@@ -108,7 +108,7 @@
             failures: 0,
             pause: 0,
             outcome: Cell::new("caller gone"),
-            _hold: hold,
+            _in_flight: in_flight,
         }
     }
 
--- a/crates/drumusher/src/request/http.rs
+++ b/crates/drumusher/src/request/http.rs
@@ -14,7 +14,7 @@
 use super::{
     completion::{self, Form},
     head::Head,
-    hold::Hold,
+    in_flight::InFlight,
     service::{self, Call},
 };
 use crate::{
@@ -75,12 +75,12 @@
     worker: &Worker,
 ) -> HttpResponse {
     let shared = &worker.shared;
-    let (hold, body) = match accept(shared, payload).await {
+    let (in_flight, body) = match accept(shared, payload).await {
         Ok(accepted) => accepted,
         Err(error) => return error.response(),
     };
     let (shared, client) = (shared.clone(), worker.client.clone());
-    completion::serve(shared, client, form, request.headers(), body, hold).await
+    completion::serve(shared, client, form, request.headers(), body, in_flight).await
 }
 
 async fn call_service(
@@ -89,7 +89,7 @@
     worker: types::State<Worker>,
 ) -> HttpResponse {
     let shared = &worker.shared;
-    let (hold, body) = match accept(shared, payload).await {
+    let (in_flight, body) = match accept(shared, payload).await {
         Ok(accepted) => accepted,
         Err(error) => return error.response(),
     };
@@ -100,14 +100,14 @@
     let path = if tail.starts_with('/') { tail.to_string() } else { format!("/{tail}") };
     let method: Method = request.method().clone();
     let call = Call { service, path: &path, method, headers: request.headers(), body };
-    service::serve(shared.clone(), worker.client.clone(), call, hold).await
+    service::serve(shared.clone(), worker.client.clone(), call, in_flight).await
 }
 
 /// Takes a request in and reads its body.
-async fn accept(shared: &Arc<Shared>, payload: types::Payload) -> Result<(Hold, Bytes), Error> {
-    let hold = Hold::new(shared.clone())?;
+async fn accept(shared: &Arc<Shared>, payload: types::Payload) -> Result<(InFlight, Bytes), Error> {
+    let in_flight = InFlight::new(shared.clone())?;
     let body = body(shared, payload).await?;
-    Ok((hold, body))
+    Ok((in_flight, body))
 }
 
 /// Reads a body within its bounds of length and time.
--- a/crates/drumusher/src/request/hold.rs
+++ b/crates/drumusher/src/request/in_flight.rs
@@ -11,20 +11,20 @@
 const AGAIN_MS: u64 = 1_000;
 
 /// Counts a request as held while it lives.
-pub struct Hold(Arc<Shared>);
+pub struct InFlight(Arc<Shared>);
 
-impl Hold {
+impl InFlight {
     /// Takes a request in.
     ///
     /// # Errors
     ///
     /// [`Kind::Overloaded`] if the instance holds as many as it may.
-    pub fn new(shared: Arc<Shared>) -> Result<Hold, Error> {
+    pub fn new(shared: Arc<Shared>) -> Result<InFlight, Error> {
         let most = shared.settings.limits.requests;
         let before = shared.requests.fetch_add(1, Ordering::AcqRel);
-        let hold = Hold(shared);
+        let in_flight = InFlight(shared);
         if before < most {
-            return Ok(hold);
+            return Ok(in_flight);
         }
         let message = "this instance holds as many requests as it may";
         Err(Error::new(Kind::Overloaded, message).with_retry_after(AGAIN_MS))
@@ -36,7 +36,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.requests.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/drumusher/src/request/service.rs
+++ b/crates/drumusher/src/request/service.rs
@@ -18,8 +18,8 @@
     claim::{self, Claim},
     flow::{DONE, Flow},
     head::Head,
-    hold::Hold,
     id,
+    in_flight::InFlight,
     trace::Span,
 };
 use crate::{
@@ -57,11 +57,11 @@
     shared: Arc<Shared>,
     client: Client,
     call: Call<'_>,
-    hold: Hold,
+    in_flight: InFlight,
 ) -> HttpResponse {
     let span = Span::entry(shared.telemetry.tracer(), call.headers);
     let request_id = id::random();
-    let served = start(shared, client, &call, hold, (request_id, &span)).await;
+    let served = start(shared, client, &call, in_flight, (request_id, &span)).await;
     let mut response = served.unwrap_or_else(|error| {
         span.fail(error.kind.code());
         error.response()
@@ -74,7 +74,7 @@
     shared: Arc<Shared>,
     client: Client,
     call: &Call<'_>,
-    hold: Hold,
+    in_flight: InFlight,
     (request_id, span): (u128, &Span),
 ) -> Result<HttpResponse, Error> {
     let head = Head::read(&shared, call.headers)?;
@@ -97,7 +97,7 @@
         }
         _ => None,
     };
-    let mut flow = Flow::new(hold, request_id, head, pool, span.clone());
+    let mut flow = Flow::new(in_flight, request_id, head, pool, span.clone());
     flow.repeatable = repeatable;
     run(&mut flow, &client, call, &settings, claim).await
 }
--- a/crates/drumusher/src/routed/exchange.rs
+++ b/crates/drumusher/src/routed/exchange.rs
@@ -46,7 +46,7 @@
 };
 use crate::{
     process::{clock, notices::Basis},
-    request::{hold::Hold, id},
+    request::{id, in_flight::InFlight},
     upstream::{self, Conn, response::Part},
     version::{Backend, Pool},
 };
@@ -109,12 +109,12 @@
     may_have_run: bool,
     /// Whether the line of its end was written.
     told: Cell<bool>,
-    _hold: Hold,
+    _in_flight: InFlight,
 }
 
 impl<D: Dialect> Exchange<D> {
     /// A request that was read.
-    pub fn new(worker: Handle<D>, hold: Hold, request: Request) -> Self {
+    pub fn new(worker: Handle<D>, in_flight: InFlight, request: Request) -> Self {
         let shared = worker.shared.clone();
         let found = &request.found;
         let least = request.head.deadline_ms.unwrap_or(u64::MAX).min(found.timeout_ms);
@@ -155,7 +155,7 @@
             asked_at: 0,
             may_have_run: false,
             told: Cell::new(false),
-            _hold: hold,
+            _in_flight: in_flight,
         }
     }
 
--- a/crates/drumusher/src/routed/handler.rs
+++ b/crates/drumusher/src/routed/handler.rs
@@ -18,7 +18,7 @@
 use crate::{
     error::{Error, Kind},
     process::{Shared, clock},
-    request::hold::Hold,
+    request::in_flight::InFlight,
     version::{Denial, Routing},
 };
 
@@ -81,7 +81,7 @@
     let path = request.path().to_string();
     let id = worker.dialect.read_head(request.headers()).map(|head| head.id).unwrap_or_default();
     match read(&worker, request).await {
-        Ok((hold, request)) => Ok(Exchange::new(worker, hold, request).answer().await),
+        Ok((in_flight, request)) => Ok(Exchange::new(worker, in_flight, request).answer().await),
         Err(error) => {
             log::info!(
                 request = id.as_str(), method = method.as_str(), path = path.as_str(), status = error.kind.status();
@@ -102,7 +102,7 @@
 async fn read<D: Dialect>(
     worker: &Handle<D>,
     mut request: http::Request,
-) -> Result<(Hold, Request), Error> {
+) -> Result<(InFlight, Request), Error> {
     let arrived = clock::now();
     let shared = &worker.shared;
     let head = worker.dialect.read_head(request.headers());
@@ -116,13 +116,13 @@
     let path = path(&request).to_string();
     let found = routing.find(host(&request), &path, head.key.as_deref(), &head.id);
     let found = found.map_err(denied)?;
-    let hold = Hold::new(shared.clone())?;
+    let in_flight = InFlight::new(shared.clone())?;
     let caller = request.io().cloned();
     let in_use = caller.as_ref().map(|io| worker.client_connections.enter(io));
     let body = body(&mut request, limits, shared.settings.limits.body_ms).await?;
     let headers = passed(&worker.dialect, request.headers());
     let method = request.method().clone();
-    Ok((hold, Request { method, path, headers, body, head, found, arrived, caller, in_use }))
+    Ok((in_flight, Request { method, path, headers, body, head, found, arrived, caller, in_use }))
 }
 
 /// Waits while the process starts and has no configuration yet.
