--- a/crates/drumusher/src/process/catalog.rs
+++ b/crates/drumusher/src/process/catalog.rs
@@ -217,7 +217,7 @@
             leaving: false,
             capacity: instance.capacity,
         });
-        let directory = Directory::of_servers(area, instances, state.entries.servers());
+        let directory = Directory::from_servers(area, instances, state.entries.servers());
         self.shared.publish_directory(directory);
     }
 
--- a/crates/drumusher/src/version/directory.rs
+++ b/crates/drumusher/src/version/directory.rs
@@ -124,7 +124,7 @@
     }
 
     /// The instances, and the backend servers with their services, all in one area.
-    pub fn of_servers<'a>(
+    pub fn from_servers<'a>(
         area: &Arc<str>,
         instances: impl Iterator<Item = Instance>,
         servers: impl Iterator<Item = &'a Server>,
--- a/crates/drumusher/tests/unit/directory.rs
+++ b/crates/drumusher/tests/unit/directory.rs
@@ -30,7 +30,7 @@
     let area: Arc<str> = "r".into();
     let began = Instant::now();
     let twice = servers.iter().chain(&servers[..10]);
-    let directory = Directory::of_servers(&area, std::iter::empty(), twice);
+    let directory = Directory::from_servers(&area, std::iter::empty(), twice);
     println!("built in {:?}", began.elapsed());
     let pool = Pool::Service("s".into());
     assert_eq!(directory.backends(&pool, &area).count(), 3_000);
