--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -213,7 +213,7 @@
         }
         let previous = self.version.load_full();
         let version =
-            Version::of_routes(Some(&previous), &configuration, self.settings.limits.queue)
+            Version::from_routes(Some(&previous), &configuration, self.settings.limits.queue)
                 .with_switches(self.settings.decisions);
         self.version.store(Arc::new(version));
         self.routing.store(Some(Arc::new(Routing::new(configuration))));
--- a/crates/drumusher/src/version/policy.rs
+++ b/crates/drumusher/src/version/policy.rs
@@ -53,7 +53,7 @@
     }
 
     /// The version for a configuration of routes: one class for each route and rank of workspaces.
-    pub fn of_routes(
+    pub fn from_routes(
         previous: Option<&Version>,
         configuration: &Configuration,
         queue: usize,
