--- a/crates/drumusher/src/routed/exchange.rs
+++ b/crates/drumusher/src/routed/exchange.rs
@@ -297,7 +297,7 @@
     fn started_again(&self) -> bool {
         let pool = Pool::Service(self.request.found.service.clone());
         let directory = self.worker.shared.directory.load();
-        self.at.as_ref().is_some_and(|backend| directory.started_again(&pool, backend))
+        self.at.as_ref().is_some_and(|backend| directory.has_restarted(&pool, backend))
     }
 
     /// Keeps the connection of a whole answer for other requests.
--- a/crates/drumusher/src/version/directory.rs
+++ b/crates/drumusher/src/version/directory.rs
@@ -208,7 +208,7 @@
     }
 
     /// Whether a backend server of a pool started again after `backend` was seen there.
-    pub fn started_again(&self, pool: &Pool, backend: &Backend) -> bool {
+    pub fn has_restarted(&self, pool: &Pool, backend: &Backend) -> bool {
         let now = self.backend(pool, &backend.name);
         now.is_some_and(|now| now.born_ms > backend.born_ms && backend.born_ms.is_some())
     }
