--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -39,7 +39,7 @@
 }
 
 /// Adds a pool's rows of one table.
-pub fn of_pool(
+pub fn add_pool_rows(
     source: Source,
     pool: &Pool,
     state: &pool::Pool,
--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -373,7 +373,7 @@
         let version = self.shared.version.load();
         let mut rows = Vec::new();
         for (pool, host) in &self.hosts {
-            rows::of_pool(source, pool, &host.pool, &host.names, &version, &mut rows);
+            rows::add_pool_rows(source, pool, &host.pool, &host.names, &version, &mut rows);
         }
         rows
     }
