--- a/crates/drumusher/src/operator/mod.rs
+++ b/crates/drumusher/src/operator/mod.rs
@@ -80,8 +80,11 @@
                     | Table::Instances
                     | Table::Notices
             );
-            let rows =
-                if everywhere { gather(&shared, text).await } else { local(&shared, text).await };
+            let rows = if everywhere {
+                gather(&shared, text).await
+            } else {
+                local_rows(&shared, text).await
+            };
             let (missing, rows) = split(rows);
             let mut rows = select::run(&selection, rows);
             rows.extend(missing);
@@ -135,7 +138,7 @@
 }
 
 /// The rows that this instance alone has for a statement, unselected.
-pub async fn local(shared: &Arc<Shared>, text: &str) -> Vec<Row> {
+pub async fn local_rows(shared: &Arc<Shared>, text: &str) -> Vec<Row> {
     match statement::parse(text) {
         Ok(Statement::Show(table, _)) => table_rows(shared, table).await,
         Ok(Statement::Request(text)) => request_rows(shared, &text),
--- a/crates/drumusher/src/process/peers/query.rs
+++ b/crates/drumusher/src/process/peers/query.rs
@@ -53,7 +53,7 @@
     }
 
     async fn own_rows(self, statement: String, reply: Answers) {
-        let rows = operator::local(&self.shared, &statement).await;
+        let rows = operator::local_rows(&self.shared, &statement).await;
         let _ = reply.try_send((self.shared.name.clone(), Some(rows)));
     }
 
@@ -102,7 +102,7 @@
     }
 
     async fn answer_query(self, number: u32, query: peer::Query) {
-        let rows = operator::local(&self.shared, &query.statement).await;
+        let rows = operator::local_rows(&self.shared, &query.statement).await;
         let lines = rows.iter().filter_map(|row| serde_json::to_string(row).ok()).collect();
         self.send_on(number, Message::Answer(peer::Answer::new(query.id, lines)));
     }
