--- a/crates/drumusher/src/operator/mod.rs
+++ b/crates/drumusher/src/operator/mod.rs
@@ -58,7 +58,7 @@
 }
 
 /// Answers one statement with JSON lines.
-pub async fn answer(
+pub async fn execute(
     shared: Arc<Shared>,
     author: &str,
     text: &str,
--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -199,7 +199,7 @@
         }
     }
     let text = String::from_utf8_lossy(&statement).into_owned();
-    operator::answer(shared, &author, &text, request.headers()).await
+    operator::execute(shared, &author, &text, request.headers()).await
 }
 
 fn status(shared: &Shared, request: &http::Request) -> Response {
--- a/crates/drumusher/src/request/http.rs
+++ b/crates/drumusher/src/request/http.rs
@@ -158,7 +158,7 @@
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(error) => return error.response(),
     };
-    operator::answer(shared, &author, &statement, headers).await
+    operator::execute(shared, &author, &statement, headers).await
 }
 
 async fn metrics(worker: types::State<Worker>) -> HttpResponse {
