--- a/crates/drumusher/src/main.rs
+++ b/crates/drumusher/src/main.rs
@@ -151,7 +151,7 @@
 }
 
 fn ask(statement: &str, address: &str, key: &str) -> ExitCode {
-    match drumusher::operator::ask(statement, address, key) {
+    match drumusher::operator::send_statement(statement, address, key) {
         Ok(answer) => {
             print!("{answer}");
             ExitCode::SUCCESS
--- a/crates/drumusher/src/operator/mod.rs
+++ b/crates/drumusher/src/operator/mod.rs
@@ -194,7 +194,7 @@
 /// # Errors
 ///
 /// A sentence for the user.
-pub fn ask(statement: &str, address: &str, key: &str) -> Result<String, String> {
+pub fn send_statement(statement: &str, address: &str, key: &str) -> Result<String, String> {
     let runner = rt::System::build().name("ask").build(rt::DefaultRuntime);
     let (statement, key) = (statement.to_string(), key.to_string());
     let url = format!("http://{address}/operator/query");
