--- a/crates/drumusher/src/error.rs
+++ b/crates/drumusher/src/error.rs
@@ -57,7 +57,7 @@
     /// The instance has no configuration yet.
     NotReady,
     /// The platform's log, without which the request may not run, cannot be reached.
-    LogAway,
+    LogUnavailable,
     /// A request with this idempotency key is running.
     Running,
     /// The idempotency key was used for another request.
@@ -98,7 +98,7 @@
             Kind::NoServer => Row(503, "no_server", Ran::No),
             Kind::Overloaded => Row(503, "overloaded", Ran::No),
             Kind::NotReady => Row(503, "not_ready", Ran::No),
-            Kind::LogAway => Row(503, "log_away", Ran::No),
+            Kind::LogUnavailable => Row(503, "log_away", Ran::No),
             Kind::Running => Row(409, "running", Ran::Unknown),
             Kind::KeyReused => Row(422, "key_reused", Ran::No),
             Kind::OutcomeUnknown => Row(409, "outcome_unknown", Ran::Unknown),
--- a/crates/drumusher/src/request/claim.rs
+++ b/crates/drumusher/src/request/claim.rs
@@ -85,7 +85,7 @@
         }
         Ok(Ok(Claimed::Away)) | Ok(Err(_)) | Err(_) => {
             let message = "the platform's log, without which the request may not run, is away";
-            Err(Error::new(Kind::LogAway, message).with_retry_after(AGAIN_MS))
+            Err(Error::new(Kind::LogUnavailable, message).with_retry_after(AGAIN_MS))
         }
     }
 }
