--- a/crates/drumusher/src/error.rs
+++ b/crates/drumusher/src/error.rs
@@ -71,7 +71,7 @@
     /// The backend servers failed and the answer is not whole.
     Incomplete,
     /// Backend servers ended each time they ran it, and it is not run again.
-    HeldBack,
+    Quarantined,
     /// The time that the caller or the route allows ran out while a backend server worked on it.
     TimedOut,
     /// A fault of drumusher itself.
@@ -105,7 +105,7 @@
             Kind::AlreadyRan => Row(409, "already_ran", Ran::Yes),
             Kind::BackendFailed => Row(502, "backend_failed", Ran::Unknown),
             Kind::Incomplete => Row(502, "incomplete", Ran::Unknown),
-            Kind::HeldBack => Row(502, "held_back", Ran::No),
+            Kind::Quarantined => Row(502, "held_back", Ran::No),
             Kind::TimedOut => Row(504, "timed_out", Ran::Unknown),
             Kind::Internal => Row(500, "internal", Ran::Unknown),
         }
--- a/crates/drumusher/src/routed/exchange/end.rs
+++ b/crates/drumusher/src/routed/exchange/end.rs
@@ -159,7 +159,7 @@
         let message =
             "backend servers ended each time they ran this request, so that it is held back";
         let ran = if self.may_have_run { Ran::Unknown } else { Ran::No };
-        Error::new(Kind::HeldBack, message).with_ran(ran)
+        Error::new(Kind::Quarantined, message).with_ran(ran)
     }
 
     /// An error that says "not run" if that is true, and otherwise that the outcome is not known.
