--- a/crates/drumusher/src/error.rs
+++ b/crates/drumusher/src/error.rs
@@ -134,11 +134,11 @@
     /// When to come back, in milliseconds.
     pub retry_after_ms: Option<u64>,
     /// A signed token that keeps the place of a refused request.
-    pub place: Option<String>,
+    pub arrival_token: Option<String>,
 }
 
 /// The header that carries a place token in both directions.
-pub const PLACE_HEADER: &str = "Drumusher-Place";
+pub const ARRIVAL_TOKEN_HEADER: &str = "Drumusher-Place";
 
 impl Error {
     /// An error of `kind` with a sentence for the caller.
@@ -148,7 +148,7 @@
             message: message.into(),
             ran: kind.row().2,
             retry_after_ms: None,
-            place: None,
+            arrival_token: None,
         }
     }
 
@@ -165,8 +165,8 @@
     }
 
     /// Adds a place token.
-    pub fn with_place(mut self, place: String) -> Self {
-        self.place = Some(place);
+    pub fn with_arrival_token(mut self, arrival_token: String) -> Self {
+        self.arrival_token = Some(arrival_token);
         self
     }
 
@@ -188,8 +188,8 @@
         if let Some(milliseconds) = self.retry_after_ms {
             builder.set_header("Retry-After", milliseconds.div_ceil(1_000).max(1).to_string());
         }
-        if let Some(place) = &self.place {
-            builder.set_header(PLACE_HEADER, place.as_str());
+        if let Some(arrival_token) = &self.arrival_token {
+            builder.set_header(ARRIVAL_TOKEN_HEADER, arrival_token.as_str());
         }
         builder.json(&self.object())
     }
--- a/crates/drumusher/src/request/flow.rs
+++ b/crates/drumusher/src/request/flow.rs
@@ -237,7 +237,8 @@
         let head = &self.head;
         let secret = &self.shared.settings.fleet_secret;
         let place = arrival_token::issue(secret, &head.workspace, &head.class, head.arrived_ms);
-        let error = Error::new(kind, message).with_retry_after(retry_after_ms).with_place(place);
+        let error =
+            Error::new(kind, message).with_retry_after(retry_after_ms).with_arrival_token(place);
         if self.produced > 0 || self.attempts > 0 && !self.repeatable {
             return error.with_ran(Ran::Unknown);
         }
--- a/crates/drumusher/src/request/head.rs
+++ b/crates/drumusher/src/request/head.rs
@@ -7,7 +7,7 @@
 
 use super::arrival_token;
 use crate::{
-    error::{Error, Kind, PLACE_HEADER},
+    error::{ARRIVAL_TOKEN_HEADER, Error, Kind},
     process::{Shared, clock},
     version::Version,
 };
@@ -56,7 +56,7 @@
         let (class, settings) = class(&version, &workspace, headers)?;
         let idempotency_key = idempotency_key(headers)?;
         let now_ms = clock::unix_ms();
-        let token = text(headers, PLACE_HEADER);
+        let token = text(headers, ARRIVAL_TOKEN_HEADER);
         let secret = &shared.settings.fleet_secret;
         let kept = token.and_then(|token| arrival_token::verify(secret, &workspace, &class, token));
         let arrived_ms = kept.unwrap_or(now_ms);
