--- a/crates/drumusher/src/story.rs
+++ b/crates/drumusher/src/explain.rs
@@ -121,7 +121,7 @@
 
 /// What the lines tell of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Story {
+pub struct Explanation {
     /// The request.
     pub id: String,
     /// Its steps in order of time.
@@ -132,19 +132,20 @@
     pub unread: usize,
 }
 
-impl Story {
+impl Explanation {
     /// Reads the story of request `id` from log lines.
-    pub fn new<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Story {
-        let mut story = Story { id: id.into(), steps: Vec::new(), cause: Cause::Untold, unread: 0 };
+    pub fn new<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Explanation {
+        let mut explanation =
+            Explanation { id: id.into(), steps: Vec::new(), cause: Cause::Untold, unread: 0 };
         for line in lines.filter(|line| !line.trim().is_empty()) {
             match serde_json::from_str::<Map<String, Value>>(line) {
-                Ok(line) => story.steps.extend(step(id, &line)),
-                Err(_) => story.unread += 1,
+                Ok(line) => explanation.steps.extend(step(id, &line)),
+                Err(_) => explanation.unread += 1,
             }
         }
-        story.steps.sort_by(|a, b| a.time.cmp(&b.time));
-        story.cause = Cause::of(&story.steps);
-        story
+        explanation.steps.sort_by(|a, b| a.time.cmp(&b.time));
+        explanation.cause = Cause::of(&explanation.steps);
+        explanation
     }
 
     /// The same as JSON.
@@ -166,7 +167,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for step in &self.steps {
             let mut facts = String::new();
--- a/crates/drumusher/src/lib.rs
+++ b/crates/drumusher/src/lib.rs
@@ -7,17 +7,17 @@
 //! store, [`routed`] takes the place of [`request`]: it passes requests through along routes, over
 //! the connections of [`upstream`]. [`operator`] answers the operators' language, [`settings`] and
 //! [`options`] read what an instance is started with, [`error`] is the closed list of errors that
-//! callers see, and [`story`] tells from log lines why a request ended as it did.
+//! callers see, and [`explain`] tells from log lines why a request ended as it did.
 
 pub mod connection;
 pub mod error;
+pub mod explain;
 pub mod operator;
 pub mod options;
 pub mod process;
 pub mod request;
 pub mod routed;
 pub mod settings;
-pub mod story;
 pub mod summary;
 pub mod upstream;
 pub mod version;
--- a/crates/drumusher/src/main.rs
+++ b/crates/drumusher/src/main.rs
@@ -7,10 +7,10 @@
 };
 
 use drumusher::{
+    explain::Explanation,
     options::{self, Command},
     process,
     settings::{self, Settings},
-    story::Story,
     summary::Summary,
 };
 
@@ -141,13 +141,13 @@
         Ok(text) => text,
         Err(code) => return code,
     };
-    let story = Story::new(id, text.lines());
+    let explanation = Explanation::new(id, text.lines());
     if json {
-        tell(&format!("{}\n", story.to_json()));
+        tell(&format!("{}\n", explanation.to_json()));
     } else {
-        tell(&story.to_string());
+        tell(&explanation.to_string());
     }
-    if story.steps.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if explanation.steps.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 fn ask(statement: &str, address: &str, key: &str) -> ExitCode {
--- a/crates/drumusher/src/summary.rs
+++ b/crates/drumusher/src/summary.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::story::{Cause, Step};
+use crate::explain::{Cause, Step};
 
 /// Characters of a line's time up to the whole second.
 const SECOND: usize = "2026-01-01T00:00:00".len();
--- a/crates/drumusher/tests/unit/story.rs
+++ b/crates/drumusher/tests/unit/story.rs
@@ -1,6 +1,6 @@
 //! What log lines tell of one request.
 
-use drumusher::story::{Cause, Story};
+use drumusher::explain::{Cause, Explanation};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -22,25 +22,25 @@
 #[case("attempt ended: closed", Cause::Untold)]
 fn the_cause_follows_from_the_last_line(#[case] message: &str, #[case] cause: Cause) {
     let lines = [line("2", message, "a"), line("1", "attempt ended: silent", "a")];
-    let story = Story::new("a", lines.iter().map(String::as_str));
-    assert_eq!((story.cause, story.steps.len()), (cause, 2));
-    assert_eq!(story.steps[0].time, "1", "in order of time");
+    let explanation = Explanation::new("a", lines.iter().map(String::as_str));
+    assert_eq!((explanation.cause, explanation.steps.len()), (cause, 2));
+    assert_eq!(explanation.steps[0].time, "1", "in order of time");
 }
 
 #[test]
 fn lines_of_other_requests_and_other_programs_are_passed_over() {
     let lines = [line("1", "request ended: delivered", "b"), "no JSON".into(), "{}".into()];
-    let story = Story::new("a", lines.iter().map(String::as_str));
-    assert!(story.steps.is_empty());
-    assert_eq!((story.cause, story.unread), (Cause::Untold, 1));
-    assert!(story.to_string().contains("1 lines could not be read"));
+    let explanation = Explanation::new("a", lines.iter().map(String::as_str));
+    assert!(explanation.steps.is_empty());
+    assert_eq!((explanation.cause, explanation.unread), (Cause::Untold, 1));
+    assert!(explanation.to_string().contains("1 lines could not be read"));
 }
 
 proptest! {
     #[test]
-    fn any_text_is_a_story(text in "(.|\n){0,300}") {
-        let story = Story::new("a", text.lines());
-        let _ = (story.to_string(), story.to_json());
+    fn any_text_is_explained(text in "(.|\n){0,300}") {
+        let explanation = Explanation::new("a", text.lines());
+        let _ = (explanation.to_string(), explanation.to_json());
     }
 }
 
@@ -48,5 +48,5 @@
 fn a_failure_that_was_delivered_is_told_as_one() {
     let line = line("1", "request ended: delivered", "a")
         .replace("\"attempt\":\"1\"", "\"status\":\"500\"");
-    assert_eq!(Story::new("a", [line.as_str()].into_iter()).cause, Cause::FailureDelivered);
+    assert_eq!(Explanation::new("a", [line.as_str()].into_iter()).cause, Cause::FailureDelivered);
 }
--- a/crates/drumusher/tests/unit/summary.rs
+++ b/crates/drumusher/tests/unit/summary.rs
@@ -1,6 +1,6 @@
 //! What log lines tell of all requests.
 
-use drumusher::{story::Cause, summary::Summary};
+use drumusher::{explain::Cause, summary::Summary};
 use proptest::prelude::*;
 
 fn line(second: u32, message: &str, route: &str, facts: &str) -> String {
