--- a/crates/drumusher/src/explain.rs
+++ b/crates/drumusher/src/explain.rs
@@ -39,7 +39,7 @@
     /// The caller left before there was an answer.
     CallerGone,
     /// The lines do not tell: the instance ended.
-    Untold,
+    Unknown,
 }
 
 impl Step {
@@ -76,7 +76,7 @@
             Cause::TimedOut => "timed out",
             Cause::BrokenOff => "broken off",
             Cause::CallerGone => "left by callers",
-            Cause::Untold => "untold",
+            Cause::Unknown => "untold",
         }
     }
 
@@ -97,7 +97,7 @@
             Some("timed_out") => Cause::TimedOut,
             Some("broken off") => Cause::BrokenOff,
             Some(_) => Cause::NotRun,
-            None => Cause::Untold,
+            None => Cause::Unknown,
         }
     }
 
@@ -114,7 +114,7 @@
             Cause::TimedOut => "its time ran out while a backend server had it",
             Cause::BrokenOff => "its stream broke off after it began",
             Cause::CallerGone => "the caller left before there was an answer",
-            Cause::Untold => "no line tells its end: the instance ended, or its lines are missing",
+            Cause::Unknown => "no line tells its end: the instance ended, or its lines are missing",
         }
     }
 }
@@ -136,7 +136,7 @@
     /// Reads the story of request `id` from log lines.
     pub fn new<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Explanation {
         let mut explanation =
-            Explanation { id: id.into(), steps: Vec::new(), cause: Cause::Untold, unread: 0 };
+            Explanation { id: id.into(), steps: Vec::new(), cause: Cause::Unknown, unread: 0 };
         for line in lines.filter(|line| !line.trim().is_empty()) {
             match serde_json::from_str::<Map<String, Value>>(line) {
                 Ok(line) => explanation.steps.extend(step(id, &line)),
--- a/crates/drumusher/src/summary.rs
+++ b/crates/drumusher/src/summary.rs
@@ -79,7 +79,7 @@
             return;
         };
         let cause = Cause::of(std::slice::from_ref(&step));
-        if cause == Cause::Untold {
+        if cause == Cause::Unknown {
             return;
         }
         let route = step.fact("route").unwrap_or("(none)").to_string();
--- a/crates/drumusher/tests/unit/story.rs
+++ b/crates/drumusher/tests/unit/story.rs
@@ -19,7 +19,7 @@
 #[case("request ended: no_server", Cause::NotRun)]
 #[case("request ended: wait_bound", Cause::NotRun)]
 #[case("request turned away: no route", Cause::TurnedAway)]
-#[case("attempt ended: closed", Cause::Untold)]
+#[case("attempt ended: closed", Cause::Unknown)]
 fn the_cause_follows_from_the_last_line(#[case] message: &str, #[case] cause: Cause) {
     let lines = [line("2", message, "a"), line("1", "attempt ended: silent", "a")];
     let explanation = Explanation::new("a", lines.iter().map(String::as_str));
@@ -32,7 +32,7 @@
     let lines = [line("1", "request ended: delivered", "b"), "no JSON".into(), "{}".into()];
     let explanation = Explanation::new("a", lines.iter().map(String::as_str));
     assert!(explanation.steps.is_empty());
-    assert_eq!((explanation.cause, explanation.unread), (Cause::Untold, 1));
+    assert_eq!((explanation.cause, explanation.unread), (Cause::Unknown, 1));
     assert!(explanation.to_string().contains("1 lines could not be read"));
 }
 
