--- a/crates/drumusher/src/summary.rs
+++ b/crates/drumusher/src/summary.rs
@@ -21,9 +21,9 @@
     /// How many ended by each cause.
     pub ends: BTreeMap<Cause, u32>,
     /// Those that needed more than one attempt.
-    pub again: u32,
+    pub retried: u32,
     /// Those whose engine took over part of the prompt from another.
-    pub sourced: u32,
+    pub cache_sourced: u32,
     /// Milliseconds that first events were expected to take, for those that had one and an expectation.
     pub expected_ms: Vec<u64>,
     /// Milliseconds that these first events took, in the same order.
@@ -45,8 +45,9 @@
     fn add(&mut self, step: &Step, cause: Cause) {
         *self.ends.entry(cause).or_default() += 1;
         let number = |name| step.fact(name).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-        self.again += u32::from(number("attempts") > 1);
-        self.sourced += u32::from(step.fact("source").is_some_and(|source| !source.is_empty()));
+        self.retried += u32::from(number("attempts") > 1);
+        self.cache_sourced +=
+            u32::from(step.fact("source").is_some_and(|source| !source.is_empty()));
         let (expected, came) = (number("expected_ms"), number("handed_ms"));
         if expected > 0 && came > 0 {
             self.expected_ms.push(expected);
@@ -55,7 +56,7 @@
     }
 
     /// All requests of the group.
-    pub fn all(&self) -> u32 {
+    pub fn total(&self) -> u32 {
         self.ends.values().sum()
     }
 }
@@ -105,11 +106,11 @@
 }
 
 fn row(group: &Group) -> Result<String, fmt::Error> {
-    let mut row = format!("{} requests", group.all());
+    let mut row = format!("{} requests", group.total());
     for (cause, count) in &group.ends {
         write!(row, ", {count} {}", cause.word())?;
     }
-    write!(row, "; {} tried again, {} with a source", group.again, group.sourced)?;
+    write!(row, "; {} tried again, {} with a source", group.retried, group.cache_sourced)?;
     if let Some((expected, came)) = median(&group.expected_ms).zip(median(&group.came_ms)) {
         write!(row, "; first event expected in {expected} ms, came in {came} ms (medians)")?;
     }
--- a/crates/drumusher/tests/unit/summary.rs
+++ b/crates/drumusher/tests/unit/summary.rs
@@ -23,10 +23,10 @@
     ];
     let summary = Summary::new(lines.iter().map(String::as_str));
     let letters = &summary.routes["letters"];
-    assert_eq!((letters.all(), letters.again, letters.sourced), (2, 1, 1));
+    assert_eq!((letters.total(), letters.retried, letters.cache_sourced), (2, 1, 1));
     assert_eq!(letters.ends[&Cause::CallerGone], 1);
     assert_eq!(summary.routes["answers"].ends[&Cause::NotRun], 1, "an attempt is no end");
-    let seconds: Vec<u32> = summary.seconds.values().map(|group| group.all()).collect();
+    let seconds: Vec<u32> = summary.seconds.values().map(|group| group.total()).collect();
     assert_eq!(seconds, [2, 2]);
     assert_eq!(summary.unread, 1);
     let text = summary.to_string();
