--- a/crates/drumusher/src/request/attempt.rs
+++ b/crates/drumusher/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a backend server over HTTP.
+//! Sends one attempt to a backend server over HTTP.
 
 use drumusher_platform::tcp;
 use ntex::{
@@ -15,50 +15,50 @@
 };
 use crate::settings::Backend as Settings;
 
-/// Most connections to one backend server from one HTTP worker.
-const CONNECTIONS: usize = 4_096;
+/// Maximum number of connections from one HTTP worker to one backend server.
+const MAX_CONNECTIONS: usize = 4_096;
 
-/// Why an attempt broke.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection: surely nothing was handed over.
+    /// No connection was established; nothing was sent.
     NotSent,
-    /// The backend server said that it takes no more: surely not run.
+    /// The backend server has no capacity; the request was not run.
     Full,
-    /// The connection broke, or nothing came in time.
+    /// The connection broke, or nothing was received in time.
     Broken,
-    /// The backend server answered with a failure of its own.
+    /// The backend server responded with an error status.
     Failed(u16),
-    /// The answer belongs to another request.
-    Crossed,
+    /// The response belongs to another request.
+    Mismatched,
 }
 
 impl Error {
-    /// Whether the request was surely not run.
-    pub fn surely_not_run(self) -> bool {
+    /// Returns whether the request certainly did not run.
+    pub fn not_run(self) -> bool {
         matches!(self, Error::NotSent | Error::Full)
     }
 
-    /// Its words in spans and logs.
-    pub fn words(self) -> &'static str {
+    /// Description used in spans, logs and metrics.
+    pub fn as_str(self) -> &'static str {
         match self {
             Error::NotSent => "no connection",
             Error::Full => "takes no more",
             Error::Broken => "broke off",
             Error::Failed(_) => "failed",
-            Error::Crossed => "answered another request",
+            Error::Mismatched => "answered another request",
         }
     }
 }
 
-/// The client of one HTTP worker.
+/// Creates the HTTP client of one HTTP worker.
 ///
 /// # Errors
 ///
-/// A sentence, if the library cannot make one.
+/// An error message if the library cannot create the client.
 pub async fn client(settings: &Settings) -> Result<Client, String> {
     let limit = Millis(settings.connect_ms as u32);
-    let connector = Connector::new().limit(CONNECTIONS).connector(tcp::connector(limit));
+    let connector = Connector::new().limit(MAX_CONNECTIONS).connector(tcp::connector(limit));
     Client::builder()
         .connector::<()>(connector)
         .disable_redirects()
@@ -69,58 +69,58 @@
         .map_err(|e| e.to_string())
 }
 
-/// What is handed to a backend server.
+/// A request to a backend server.
 #[derive(Clone, Debug)]
-pub struct Handover<'a> {
+pub struct AttemptRequest<'a> {
     /// `ip:port`.
     pub address: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// The request's identity.
+    /// Request ID.
     pub id: u128,
-    /// The trace header of this attempt's span.
+    /// `traceparent` header of this attempt's span.
     pub traceparent: String,
-    /// Headers that pass through.
+    /// Headers to forward.
     pub headers: &'a [(&'static str, String)],
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// Hands a request over and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// Any [`Error`] but [`Error::Failed`]: the status is the caller's to judge.
-pub async fn send(client: &Client, handover: Handover<'_>) -> Result<ClientResponse, Error> {
-    let own = id::to_text(handover.id);
-    let url = format!("http://{}{}", handover.address, handover.path);
-    let mut request: ClientRequest = client
-        .request(handover.method, url.as_str())
-        .header(REQUEST_ID_HEADER, own.as_str())
-        .header(TRACEPARENT, handover.traceparent.as_str());
-    for (name, value) in handover.headers {
-        request = request.header(*name, value.as_str());
+/// Any [`Error`] but [`Error::Failed`]; the caller of this function has to check the status.
+pub async fn send(client: &Client, request: AttemptRequest<'_>) -> Result<ClientResponse, Error> {
+    let request_id = id::to_text(request.id);
+    let url = format!("http://{}{}", request.address, request.path);
+    let mut outgoing: ClientRequest = client
+        .request(request.method, url.as_str())
+        .header(REQUEST_ID_HEADER, request_id.as_str())
+        .header(TRACEPARENT, request.traceparent.as_str());
+    for (name, value) in request.headers {
+        outgoing = outgoing.header(*name, value.as_str());
     }
-    let sent = request.send_body(handover.body).await;
+    let sent = outgoing.send_body(request.body).await;
     let response = sent.map_err(|error| match error {
         ClientError::Connect(_) => Error::NotSent,
         _ => Error::Broken,
     })?;
     let echoed = response.header(REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
-    if echoed.is_some_and(|echoed| echoed != own) {
-        return Err(Error::Crossed);
+    if echoed.is_some_and(|echoed| echoed != request_id) {
+        return Err(Error::Mismatched);
     }
     Ok(response)
 }
 
-/// The next piece of an answer's body; `None` at its end.
+/// Returns the next chunk of a response body, or `None` at its end.
 ///
 /// # Errors
 ///
-/// [`Error::Broken`] if the connection broke or nothing came within `longest_ms`.
-pub async fn piece(payload: &mut Payload, longest_ms: u64) -> Result<Option<Bytes>, Error> {
+/// [`Error::Broken`] if the connection breaks or nothing is received within `timeout_ms`.
+pub async fn next_chunk(payload: &mut Payload, longest_ms: u64) -> Result<Option<Bytes>, Error> {
     let next = timeout(Millis(longest_ms as u32), stream_recv(payload)).await;
     match next {
         Ok(Some(Ok(bytes))) => Ok(Some(bytes)),
@@ -129,5 +129,6 @@
     }
 }
 
-/// Names of the headers that pass through to plain services.
-pub const PASSED: [&str; 4] = ["content-type", "accept", IDEMPOTENCY_HEADER, "user-agent"];
+/// Headers that are forwarded to plain services.
+pub const FORWARDED_HEADERS: [&str; 4] =
+    ["content-type", "accept", IDEMPOTENCY_HEADER, "user-agent"];
--- a/crates/drumusher/src/request/claim.rs
+++ b/crates/drumusher/src/request/claim.rs
@@ -1,4 +1,5 @@
-//! At most once: the claim that a request with an idempotency key needs before it is handed over.
+//! At-most-once execution: a request with an idempotency key has to win a claim in the platform's log before it is
+//! sent.
 
 use std::sync::Arc;
 
@@ -19,48 +20,49 @@
     },
 };
 
-/// Longest answer that is kept for repeats, in bytes.
-const LONGEST_KEPT: usize = 8_192;
-/// Time beyond the platform's bound that the platform thread may take to answer, in milliseconds.
-const PATIENCE_MS: u64 = 1_000;
-/// When to come back while another attempt runs or the log is away, in milliseconds.
-const AGAIN_MS: u64 = 1_000;
-/// The header that marks a kept answer.
+/// Maximum size of a response body that is stored for repeated requests, in bytes.
+const MAX_STORED_BODY: usize = 8_192;
+/// Time that the platform thread may take in addition to the platform's own timeout, in milliseconds.
+const PLATFORM_GRACE_MS: u64 = 1_000;
+/// `Retry-After` while another attempt runs or the log is unavailable, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
+/// Header that marks a response that was replayed from the log.
 pub const REPLAYED_HEADER: &str = "Drumusher-Replayed";
 
-/// What is claimed: the hash of workspace, route and idempotency key.
-pub fn subject(workspace: &str, route: &str, idempotency_key: &str) -> Key {
+/// Derives the claim key: a hash of workspace, route and idempotency key.
+pub fn derive_key(workspace: &str, route: &str, idempotency_key: &str) -> Key {
     let mut hash = Sha256::new();
     for part in [workspace, route, idempotency_key] {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part.as_bytes());
     }
     let digest: [u8; 32] = hash.finalize().into();
-    let (half, _) = digest.split_first_chunk::<16>().expect("a digest has 32 bytes");
-    Key(u128::from_be_bytes(*half))
+    let (truncated, _) = digest.split_first_chunk::<16>().expect("a digest has 32 bytes");
+    Key(u128::from_be_bytes(*truncated))
 }
 
-/// How asking for a claim ended well.
+/// Result of a successful request for a claim.
 pub enum Obtained {
-    /// The request may be handed over, once.
+    /// The request may be sent, once.
     Claim(Claim),
-    /// It ran before; its kept answer.
-    Answer(HttpResponse),
+    /// The request ran before; this is its stored response.
+    Replay(HttpResponse),
 }
 
-/// A claim that this attempt holds. Dropped before the request was handed over, it is released.
+/// A claim held by this attempt. If it is dropped before the request was sent, it is released.
 pub struct Claim {
     shared: Arc<Shared>,
     key: Key,
     attempt: Attempt,
-    handed_over: bool,
+    sent: bool,
 }
 
-/// Claims `key` for an attempt.
+/// Obtains the claim on `key` for an attempt. `request` is the fingerprint by which another request with the same key
+/// is recognised.
 ///
 /// # Errors
 ///
-/// The truthful answer if the request may not be handed over.
+/// The error to respond with if the request may not be sent.
 pub async fn obtain(
     shared: &Arc<Shared>,
     attempt: u128,
@@ -68,48 +70,54 @@
     request: u64,
 ) -> Result<Obtained, Error> {
     let attempt = Attempt(attempt);
-    let (reply, answer) = async_channel::bounded(1);
+    let (reply, receiver) = async_channel::bounded(1);
     let input = Input::Claim { key, attempt, request, reply };
     if shared.platform.try_send(input).is_err() {
-        return Err(Error::new(Kind::Overloaded, "too many claims").with_retry_after(AGAIN_MS));
+        return Err(
+            Error::new(Kind::Overloaded, "too many claims").with_retry_after(RETRY_AFTER_MS)
+        );
     }
-    // From here on the claim is released unless something was handed over.
-    let mut claim = Claim { shared: shared.clone(), key, attempt, handed_over: false };
-    let longest = shared.settings.platform.claim_ms + PATIENCE_MS;
-    let claimed = timeout(Millis(longest as u32), answer.recv()).await;
+    // From here on, dropping the claim releases it unless the request was sent.
+    let mut claim = Claim { shared: shared.clone(), key, attempt, sent: false };
+    let timeout_ms = shared.settings.platform.claim_ms + PLATFORM_GRACE_MS;
+    let claimed = timeout(Millis(timeout_ms as u32), receiver.recv()).await;
     match claimed {
         Ok(Ok(Claimed::Won)) => Ok(Obtained::Claim(claim)),
         Ok(Ok(Claimed::Lost(other))) => {
-            claim.handed_over = true;
-            lost(shared, &other, request).map(Obtained::Answer)
+            claim.sent = true;
+            respond_to_conflict(shared, &other, request).map(Obtained::Replay)
         }
         Ok(Ok(Claimed::Away)) | Ok(Err(_)) | Err(_) => {
-            let message = "the platform's log, without which the request may not run, is away";
-            Err(Error::new(Kind::LogUnavailable, message).with_retry_after(AGAIN_MS))
+            let message = "the platform's log is unavailable; the request may not run without it";
+            Err(Error::new(Kind::LogUnavailable, message).with_retry_after(RETRY_AFTER_MS))
         }
     }
 }
 
-/// The answer when another attempt holds the key.
-fn lost(shared: &Shared, claim: &claim::Claim, request: u64) -> Result<HttpResponse, Error> {
+/// Returns the response or error when another attempt holds the claim.
+fn respond_to_conflict(
+    shared: &Shared,
+    claim: &claim::Claim,
+    request: u64,
+) -> Result<HttpResponse, Error> {
     if claim.request != request {
         let message = "the idempotency key was used for another request";
         return Err(Error::new(Kind::KeyReused, message));
     }
     match &claim.standing {
         Standing::Done(answer) => replay(answer),
-        Standing::Claimed if alive(shared, &claim.instance) => {
+        Standing::Claimed if is_listed(shared, &claim.instance) => {
             let message = "a request with this idempotency key is running";
-            Err(Error::new(Kind::Running, message).with_retry_after(AGAIN_MS))
+            Err(Error::new(Kind::Running, message).with_retry_after(RETRY_AFTER_MS))
         }
         Standing::Claimed => {
-            let message = "a request with this idempotency key began; how it ended is not known";
+            let message = "a request with this idempotency key was started; its outcome is unknown";
             Err(Error::new(Kind::OutcomeUnknown, message))
         }
     }
 }
 
-fn alive(shared: &Shared, instance: &str) -> bool {
+fn is_listed(shared: &Shared, instance: &str) -> bool {
     *instance == *shared.name || shared.directory.load().instances.contains_key(instance)
 }
 
@@ -117,7 +125,10 @@
     let body = answer.body.as_ref().and_then(|body| STANDARD.decode(body).ok());
     let status = StatusCode::from_u16(answer.status).ok();
     let (Some(body), Some(status)) = (body, status) else {
-        return Err(Error::new(Kind::AlreadyRan, "the request ran; its answer is not kept"));
+        return Err(Error::new(
+            Kind::AlreadyRan,
+            "the request already ran; its response is not stored",
+        ));
     };
     let mut response = HttpResponse::build(status);
     response.set_header(REPLAYED_HEADER, "true");
@@ -126,23 +137,23 @@
 }
 
 impl Claim {
-    /// The request is about to be handed over: from now on it may have run.
-    pub fn handing_over(&mut self) {
-        self.handed_over = true;
+    /// Records that the request is about to be sent: from now on it may have run.
+    pub fn mark_sent(&mut self) {
+        self.sent = true;
     }
 
-    /// Surely nothing was handed over after all.
-    pub fn not_handed_over(&mut self) {
-        self.handed_over = false;
+    /// Records that nothing was sent after all.
+    pub fn mark_not_sent(&mut self) {
+        self.sent = false;
     }
 
-    /// The request ran. Keeps its answer, unless it is too long.
-    pub fn done(self, status: u16, content_type: &str, body: Option<&[u8]>) {
-        let kept = body.filter(|body| body.len() <= LONGEST_KEPT);
+    /// Records that the request ran, and stores its response unless the body is too long.
+    pub fn complete(self, status: u16, content_type: &str, body: Option<&[u8]>) {
+        let stored = body.filter(|body| body.len() <= MAX_STORED_BODY);
         let answer = Answer {
             status,
             content_type: content_type.to_string(),
-            body: kept.map(|body| STANDARD.encode(body)),
+            body: stored.map(|body| STANDARD.encode(body)),
         };
         let input = Input::Done(self.key, self.attempt, answer);
         if self.shared.platform.try_send(input).is_err() {
@@ -153,7 +164,7 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        if self.handed_over {
+        if self.sent {
             return;
         }
         let _ = self.shared.platform.try_send(Input::Release(self.key, self.attempt));
--- a/crates/drumusher/src/request/completion.rs
+++ b/crates/drumusher/src/request/completion.rs
@@ -1,4 +1,4 @@
-//! Model requests: chat and plain completions, streamed and not.
+//! Model requests: chat and text completions, streaming or not.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    answer, claim, flow::Flow, head::Head, id, in_flight::InFlight, stream::Stream, trace::Span,
+    claim, head::Head, id, in_flight::InFlight, lifecycle::Lifecycle, response,
+    stream::CompletionStream, trace::Span,
 };
 use crate::{
     error::{Error, Kind},
@@ -17,63 +18,63 @@
     version::Pool,
 };
 
-/// Characters of a prompt that make one token, roughly.
+/// Approximate number of prompt characters per token.
 const CHARACTERS_PER_TOKEN: usize = 4;
-/// Bytes of a prompt's beginning that are hashed for affinity.
-const PREFIX: usize = 512;
+/// Length of the prompt prefix that is hashed for cache affinity, in bytes.
+const AFFINITY_PREFIX_BYTES: usize = 512;
 
-/// Which form of completion the caller wants.
+/// Kind of completion that the client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// Messages in, a message out.
+pub enum CompletionKind {
+    /// Chat completion: messages in, a message out.
     Chat,
-    /// Text in, text out.
-    Plain,
+    /// Text completion: text in, text out.
+    Text,
 }
 
-impl Form {
-    /// The path at an engine, the same as at an instance.
+impl CompletionKind {
+    /// Returns the API path, which is the same at engines and instances.
     pub fn path(self) -> &'static str {
         match self {
-            Form::Chat => "/v1/chat/completions",
-            Form::Plain => "/v1/completions",
+            CompletionKind::Chat => "/v1/chat/completions",
+            CompletionKind::Text => "/v1/completions",
         }
     }
 }
 
-/// A body that was understood.
+/// A parsed request body.
 struct Request {
     body: Map<String, Value>,
     model: Arc<str>,
-    streamed: bool,
+    streaming: bool,
     prompt: u32,
     prefix: u64,
 }
 
-/// Serves one completion.
+/// Handles a completion request.
 pub async fn serve(
     shared: Arc<Shared>,
     client: Client,
-    form: Form,
+    kind: CompletionKind,
     headers: &HeaderMap,
     body: Bytes,
     in_flight: InFlight,
 ) -> HttpResponse {
-    let span = Span::entry(shared.telemetry.tracer(), headers);
+    let span = Span::server(shared.telemetry.tracer(), headers);
     let request_id = id::random();
-    let served = start(shared, client, form, headers, body, in_flight, (request_id, &span)).await;
+    let served = execute(shared, client, kind, headers, body, in_flight, (request_id, &span)).await;
     let mut response = served.unwrap_or_else(|error| {
         span.fail(error.kind.code());
         error.response()
     });
-    answer::mark(&mut response, request_id, &span);
+    response::add_headers(&mut response, request_id, &span);
     response
 }
 
-async fn start(
+async fn execute(
     shared: Arc<Shared>,
     client: Client,
-    form: Form,
+    kind: CompletionKind,
     headers: &HeaderMap,
     body: Bytes,
     in_flight: InFlight,
@@ -81,7 +82,7 @@
 ) -> Result<HttpResponse, Error> {
     let head = Head::read(&shared, headers)?;
     let fingerprint = xxh3_64_with_seed(&body, 0);
-    let request = read(&shared, &head, form, &body)?;
+    let request = parse_request(&shared, &head, kind, &body)?;
     let pool = Pool::Model(request.model.clone());
     if !shared.directory.load().pools.contains_key(&pool) {
         let message = format!("there is no model {:?}", request.model);
@@ -89,48 +90,49 @@
     }
     let claim = match (&head.idempotency_key, head.settings.repeatable) {
         (Some(key), false) => {
-            let subject = claim::subject(&head.workspace, form.path(), key);
-            match claim::obtain(&shared, request_id, subject, fingerprint).await? {
+            let claim_key = claim::derive_key(&head.workspace, kind.path(), key);
+            match claim::obtain(&shared, request_id, claim_key, fingerprint).await? {
                 claim::Obtained::Claim(claim) => Some(claim),
-                claim::Obtained::Answer(response) => return Ok(response),
+                claim::Obtained::Replay(response) => return Ok(response),
             }
         }
         _ => None,
     };
-    let mut flow = Flow::new(in_flight, request_id, head, pool, span.clone());
-    flow.prompt = request.prompt;
-    flow.prefix = request.prefix;
-    let streamed = request.streamed;
+    let mut lifecycle = Lifecycle::new(in_flight, request_id, head, pool, span.clone());
+    lifecycle.prompt = request.prompt;
+    lifecycle.prefix = request.prefix;
+    let streaming = request.streaming;
     let model = request.model.clone();
-    let mut stream = Stream::new(flow, client, form, request.body, claim);
-    if streamed {
-        return stream_out(stream).await;
+    let mut stream = CompletionStream::new(lifecycle, client, kind, request.body, claim);
+    if streaming {
+        return respond_streaming(stream).await;
     }
     collect(&mut stream).await?;
-    let body = answer::completion(form, request_id, &model, &stream.scanner, stream.flow.prompt);
-    stream.keep(200, "application/json", Some(body.to_string().as_bytes()));
+    let body =
+        response::completion(kind, request_id, &model, &stream.scanner, stream.lifecycle.prompt);
+    stream.store_response(200, "application/json", Some(body.to_string().as_bytes()));
     Ok(HttpResponse::Ok().json(&body))
 }
 
-async fn collect(stream: &mut Stream) -> Result<(), Error> {
-    while stream.piece().await?.is_some() {}
+async fn collect(stream: &mut CompletionStream) -> Result<(), Error> {
+    while stream.next_chunk().await?.is_some() {}
     Ok(())
 }
 
-/// Answers with the first piece, then the rest as the caller takes it: a slow caller slows the
-/// reading from the engine and nothing else.
-async fn stream_out(mut stream: Stream) -> Result<HttpResponse, Error> {
-    let first = stream.piece().await?;
+/// Responds with the first chunk, then streams the rest as the client reads it: backpressure from a slow client slows
+/// down only the reading from the engine.
+async fn respond_streaming(mut stream: CompletionStream) -> Result<HttpResponse, Error> {
+    let first = stream.next_chunk().await?;
     let state = Some((stream, first));
-    let pieces = unfold(state, |state| async move {
+    let chunks = unfold(state, |state| async move {
         let (mut stream, ready) = state?;
         if let Some(bytes) = ready {
             return Some((Ok::<Bytes, std::io::Error>(bytes), Some((stream, None))));
         }
-        match stream.piece().await {
+        match stream.next_chunk().await {
             Ok(Some(bytes)) => Some((Ok(bytes), Some((stream, None)))),
             Ok(None) => {
-                stream.keep(200, "text/event-stream", None);
+                stream.store_response(200, "text/event-stream", None);
                 None
             }
             Err(error) => {
@@ -139,10 +141,15 @@
             }
         }
     });
-    Ok(HttpResponse::Ok().content_type("text/event-stream").streaming(Box::pin(pieces)))
+    Ok(HttpResponse::Ok().content_type("text/event-stream").streaming(Box::pin(chunks)))
 }
 
-fn read(shared: &Shared, head: &Head, form: Form, body: &[u8]) -> Result<Request, Error> {
+fn parse_request(
+    shared: &Shared,
+    head: &Head,
+    kind: CompletionKind,
+    body: &[u8],
+) -> Result<Request, Error> {
     let bad = |message: String| Error::new(Kind::BadRequest, message);
     let parsed: Value =
         serde_json::from_slice(body).map_err(|e| bad(format!("the body is not JSON: {e}")))?;
@@ -155,25 +162,25 @@
     if body.get("n").is_some_and(|n| n.as_u64() != Some(1)) {
         return Err(bad("only one choice (n = 1) is served".into()));
     }
-    let prompt = match form {
-        Form::Chat => body.get("messages").filter(|messages| messages.is_array()),
-        Form::Plain => body.get("prompt").filter(|prompt| prompt.is_string()),
+    let prompt = match kind {
+        CompletionKind::Chat => body.get("messages").filter(|messages| messages.is_array()),
+        CompletionKind::Text => body.get("prompt").filter(|prompt| prompt.is_string()),
     };
     let Some(prompt) = prompt.map(Value::to_string) else {
         return Err(bad("the body has no prompt or messages".into()));
     };
-    let streamed = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
+    let streaming = body.get("stream").and_then(Value::as_bool).unwrap_or(false);
     let salt = salt(shared, head);
-    let start = &prompt.as_bytes()[..prompt.len().min(PREFIX)];
+    let start = &prompt.as_bytes()[..prompt.len().min(AFFINITY_PREFIX_BYTES)];
     let prefix = xxh3_64_with_seed(start, xxh3_64_with_seed(salt.as_bytes(), 0)).max(1);
     body.insert("stream".into(), Value::Bool(true));
     body.insert("priority".into(), Value::from(head.settings.tier));
     body.insert("cache_salt".into(), Value::String(salt));
     let prompt = (prompt.len() / CHARACTERS_PER_TOKEN).max(1) as u32;
-    Ok(Request { body, model, streamed, prompt, prefix })
+    Ok(Request { body, model, streaming, prompt, prefix })
 }
 
-/// A salt that keeps the workspaces' cached prefixes apart.
+/// Returns a salt that separates the cached prefixes of different workspaces.
 fn salt(shared: &Shared, head: &Head) -> String {
     let mut hash = Sha256::new();
     hash.update(shared.settings.fleet_secret.as_bytes());
--- a/crates/drumusher/src/request/head.rs
+++ b/crates/drumusher/src/request/head.rs
@@ -1,4 +1,4 @@
-//! What a caller's headers say: workspace, class, place.
+//! Parses the client's headers: workspace, traffic class, arrival token and idempotency key.
 
 use std::sync::Arc;
 
@@ -12,40 +12,40 @@
     version::Version,
 };
 
-/// The header that names a class.
+/// Header that selects a traffic class.
 pub const CLASS_HEADER: &str = "Drumusher-Class";
-/// The header that makes a request safe to send again.
+/// Header with an idempotency key, which makes a request safe to send again.
 pub const IDEMPOTENCY_HEADER: &str = "Idempotency-Key";
-/// The header that carries the request's identity to backend servers and back.
+/// Header that carries the request ID to backend servers and back.
 pub const REQUEST_ID_HEADER: &str = "X-Request-Id";
-/// Longest idempotency key in bytes.
-const LONGEST_KEY: usize = 256;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// Who calls, and for what.
+/// Values from the client's headers, with the configuration that they select.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// The version the request began with, which it keeps.
+    /// Configuration version in force when the request arrived, which applies until it ends.
     pub version: Arc<Version>,
-    /// The caller's workspace.
+    /// Workspace of the client.
     pub workspace: Arc<str>,
-    /// The class's name.
+    /// Name of the traffic class.
     pub class: Arc<str>,
-    /// The class.
+    /// Settings of the traffic class.
     pub settings: Class,
-    /// When the request first arrived, on the process's clock.
+    /// When the request first arrived, on the process's clock in microseconds.
     pub arrived: u64,
-    /// The same in milliseconds since 1970.
+    /// The same in Unix milliseconds.
     pub arrived_ms: u64,
-    /// The caller's idempotency key.
+    /// Idempotency key, if the client sent one.
     pub idempotency_key: Option<String>,
 }
 
 impl Head {
-    /// Reads the headers.
+    /// Parses the headers.
     ///
     /// # Errors
     ///
-    /// An answer for the caller: not configured, wrong key, unknown class.
+    /// The error to respond with: not configured, invalid key, or unknown class.
     pub fn read(shared: &Shared, headers: &HeaderMap) -> Result<Head, Error> {
         let version = shared.version.load_full();
         if version.state.workspaces.is_empty() {
@@ -58,8 +58,9 @@
         let now_ms = clock::unix_ms();
         let token = text(headers, ARRIVAL_TOKEN_HEADER);
         let secret = &shared.settings.fleet_secret;
-        let kept = token.and_then(|token| arrival_token::verify(secret, &workspace, &class, token));
-        let arrived_ms = kept.unwrap_or(now_ms);
+        let verified =
+            token.and_then(|token| arrival_token::verify(secret, &workspace, &class, token));
+        let arrived_ms = verified.unwrap_or(now_ms);
         let arrived = clock::now() - (now_ms - arrived_ms) * 1_000;
         Ok(Head { version, workspace, class, settings, arrived, arrived_ms, idempotency_key })
     }
@@ -69,14 +70,14 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// The bearer key of a request.
+/// Returns the bearer token of a request.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     text(headers, "authorization")?.strip_prefix("Bearer ").map(str::trim)
 }
 
 fn workspace(version: &Version, headers: &HeaderMap) -> Result<Arc<str>, Error> {
     let found = bearer(headers).and_then(|key| version.workspace_of(key));
-    let refused = || Error::new(Kind::Unauthorized, "the API key is missing or not valid");
+    let refused = || Error::new(Kind::Unauthorized, "the API key is missing or invalid");
     found.map(Arc::from).ok_or_else(refused)
 }
 
@@ -88,7 +89,7 @@
     let default = &version.state.workspaces[workspace].object.class;
     let named = text(headers, CLASS_HEADER).or(default.as_deref());
     let Some(name) = named else {
-        let message = format!("name a class in the header {CLASS_HEADER}");
+        let message = format!("the header {CLASS_HEADER} has to name a traffic class");
         return Err(Error::new(Kind::UnknownClass, message));
     };
     match version.state.classes.get(name) {
@@ -101,11 +102,11 @@
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
-    let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= LONGEST_KEY);
+    let key = value.to_str().ok().filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
     match key {
         Some(key) => Ok(Some(key.to_string())),
         None => {
-            let message = format!("{IDEMPOTENCY_HEADER} takes 1 to {LONGEST_KEY} characters");
+            let message = format!("{IDEMPOTENCY_HEADER} takes 1 to {MAX_KEY_BYTES} characters");
             Err(Error::new(Kind::BadRequest, message))
         }
     }
--- a/crates/drumusher/src/request/http.rs
+++ b/crates/drumusher/src/request/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP surface: callers, operators and the balancer.
+//! HTTP routes for clients, operators and the load balancer.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use super::{
-    completion::{self, Form},
+    completion::{self, CompletionKind},
     head::Head,
     in_flight::InFlight,
     service::{self, Call},
@@ -24,16 +24,16 @@
     version::Pool,
 };
 
-/// What one HTTP worker has at hand.
+/// State of one HTTP worker.
 #[derive(Clone)]
 pub struct Worker {
-    /// What the process shares.
+    /// State shared by the process.
     pub shared: Arc<Shared>,
-    /// Its client for backend servers.
+    /// HTTP client for backend servers.
     pub client: Client,
 }
 
-/// Adds the routes.
+/// Registers the routes.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/v1/chat/completions", web::post().to(chat))
@@ -47,9 +47,9 @@
         .route("/health/ready", web::get().to(ready));
 }
 
-/// The answer for all other paths.
+/// Handles all other paths.
 pub async fn unknown() -> HttpResponse {
-    Error::new(Kind::UnknownPath, "there is nothing at this path").response()
+    Error::new(Kind::UnknownPath, "unknown path").response()
 }
 
 async fn chat(
@@ -57,7 +57,7 @@
     payload: types::Payload,
     worker: types::State<Worker>,
 ) -> HttpResponse {
-    complete(Form::Chat, &request, payload, &worker).await
+    complete(CompletionKind::Chat, &request, payload, &worker).await
 }
 
 async fn plain(
@@ -65,11 +65,11 @@
     payload: types::Payload,
     worker: types::State<Worker>,
 ) -> HttpResponse {
-    complete(Form::Plain, &request, payload, &worker).await
+    complete(CompletionKind::Text, &request, payload, &worker).await
 }
 
 async fn complete(
-    form: Form,
+    kind: CompletionKind,
     request: &HttpRequest,
     payload: types::Payload,
     worker: &Worker,
@@ -80,7 +80,7 @@
         Err(error) => return error.response(),
     };
     let (shared, client) = (shared.clone(), worker.client.clone());
-    completion::serve(shared, client, form, request.headers(), body, in_flight).await
+    completion::serve(shared, client, kind, request.headers(), body, in_flight).await
 }
 
 async fn call_service(
@@ -103,29 +103,29 @@
     service::serve(shared.clone(), worker.client.clone(), call, in_flight).await
 }
 
-/// Takes a request in and reads its body.
+/// Admits a request and reads its body.
 async fn accept(shared: &Arc<Shared>, payload: types::Payload) -> Result<(InFlight, Bytes), Error> {
     let in_flight = InFlight::new(shared.clone())?;
-    let body = body(shared, payload).await?;
+    let body = read_body(shared, payload).await?;
     Ok((in_flight, body))
 }
 
-/// Reads a body within its bounds of length and time.
-async fn body(shared: &Shared, mut payload: types::Payload) -> Result<Bytes, Error> {
+/// Reads a body within the size limit and the time limit.
+async fn read_body(shared: &Shared, mut payload: types::Payload) -> Result<Bytes, Error> {
     let limits = &shared.settings.limits;
     let read = timeout(Millis(limits.body_ms as u32), async {
         let mut body = BytesMut::new();
-        while let Some(piece) = payload.recv().await {
-            let broken = |_| Error::new(Kind::BadRequest, "the body broke off");
-            body.extend_from_slice(&piece.map_err(broken)?);
+        while let Some(chunk) = payload.recv().await {
+            let broken = |_| Error::new(Kind::BadRequest, "the request body ended prematurely");
+            body.extend_from_slice(&chunk.map_err(broken)?);
             if body.len() > limits.body_bytes {
-                let message = format!("the body is longer than {} bytes", limits.body_bytes);
+                let message = format!("the request body exceeds {} bytes", limits.body_bytes);
                 return Err(Error::new(Kind::TooLarge, message));
             }
         }
         Ok(body.freeze())
     });
-    let late = Err(Error::new(Kind::BadRequest, "the body did not come in time"));
+    let late = Err(Error::new(Kind::BadRequest, "the request body was not received in time"));
     read.await.unwrap_or(late)
 }
 
@@ -154,7 +154,7 @@
         Ok(author) => author,
         Err(error) => return error.response(),
     };
-    let statement = match body(&shared, payload).await {
+    let statement = match read_body(&shared, payload).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(error) => return error.response(),
     };
--- a/crates/drumusher/src/request/in_flight.rs
+++ b/crates/drumusher/src/request/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counting the requests that an instance holds.
+//! Limits the number of requests in flight at an instance.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -7,30 +7,30 @@
     process::Shared,
 };
 
-/// When to come back to an instance that holds too many, in milliseconds.
-const AGAIN_MS: u64 = 1_000;
+/// `Retry-After` of an instance that has reached its limit, in milliseconds.
+const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Counts a request as held while it lives.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlight(Arc<Shared>);
 
 impl InFlight {
-    /// Takes a request in.
+    /// Admits a request.
     ///
     /// # Errors
     ///
-    /// [`Kind::Overloaded`] if the instance holds as many as it may.
+    /// [`Kind::Overloaded`] if the instance has reached its limit of requests in flight.
     pub fn new(shared: Arc<Shared>) -> Result<InFlight, Error> {
-        let most = shared.settings.limits.requests;
+        let max = shared.settings.limits.requests;
         let before = shared.requests.fetch_add(1, Ordering::AcqRel);
         let in_flight = InFlight(shared);
-        if before < most {
+        if before < max {
             return Ok(in_flight);
         }
-        let message = "this instance holds as many requests as it may";
-        Err(Error::new(Kind::Overloaded, message).with_retry_after(AGAIN_MS))
+        let message = "this instance has reached its limit of concurrent requests";
+        Err(Error::new(Kind::Overloaded, message).with_retry_after(RETRY_AFTER_MS))
     }
 
-    /// What the process shares.
+    /// Returns the state shared by the process.
     pub fn shared(&self) -> Arc<Shared> {
         self.0.clone()
     }
--- a/crates/drumusher/src/request/flow.rs
+++ b/crates/drumusher/src/request/lifecycle.rs
@@ -1,4 +1,4 @@
-//! One request's way through the dispatcher: ask, grant, attempt, and again if need be.
+//! Lifecycle of a request: obtain a grant from a dispatcher, make an attempt, and retry if necessary.
 
 use std::{cell::Cell, sync::Arc};
 
@@ -23,70 +23,70 @@
     version::{Backend, Pool},
 };
 
-/// How a request ends that got its whole answer.
+/// Outcome of a request whose response was complete.
 pub const DONE: &str = "done";
-/// Replies that may wait for a request.
-const REPLIES: usize = 8;
-/// A grant is worth nothing after this, in microseconds.
+/// Capacity of the channel for dispatcher replies.
+const REPLY_CAPACITY: usize = 8;
+/// Time after which an unused grant has expired, in microseconds.
 const GRANT_EXPIRY: u64 = 500_000;
-/// Pause after a grant of a server that cannot be used as seen from here.
-const UNUSABLE: Millis = Millis(20);
-/// Other availability zones that are asked after a refusal.
-const OVERFLOWS: usize = 2;
-/// Time beyond the class's bound that a dispatcher may take to refuse, in milliseconds.
-const PATIENCE_MS: u64 = 10_000;
+/// Pause after a grant for a backend server that this instance considers unusable.
+const UNUSABLE_GRANT_PAUSE: Millis = Millis(20);
+/// Number of other availability zones that are tried after a refusal.
+const MAX_OVERFLOW_ZONES: usize = 2;
+/// Time that a dispatcher may take in addition to the class's wait bound, in milliseconds.
+const DISPATCHER_GRACE_MS: u64 = 10_000;
 
-/// A request on its way.
-pub struct Flow {
-    /// What the process shares.
+/// A request from its arrival to its end.
+pub struct Lifecycle {
+    /// State shared by the process.
     pub shared: Arc<Shared>,
-    /// The request.
+    /// Request ID.
     pub id: Id,
-    /// Who calls, and for what.
+    /// Values from the client's headers.
     pub head: Head,
-    /// Its pool.
+    /// Pool of backend servers.
     pub pool: Pool,
-    /// Its span at the entry.
+    /// Server span of the request.
     pub span: Span,
-    /// Estimated prompt tokens.
+    /// Estimated prompt length in tokens.
     pub prompt: u32,
-    /// Salted hash of the prompt's beginning; 0 for none.
+    /// Salted hash of the prompt prefix; 0 for none.
     pub prefix: u64,
-    /// Whether it may be handed over more than once.
+    /// Whether it may be sent more than once.
     pub repeatable: bool,
     /// Tokens delivered so far.
     pub produced: u32,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
     /// Tokens delivered before the latest attempt.
-    produced_before: u32,
+    produced_before_attempt: u32,
     preemptions: u8,
     avoid: Option<Arc<str>>,
     replies: async_channel::Receiver<Reply>,
     sender: async_channel::Sender<Reply>,
     zones: Vec<Arc<str>>,
-    open: bool,
-    began: u64,
-    /// Failures that another attempt followed, and the pause before the latest of them.
+    outstanding: bool,
+    started: u64,
+    /// Number of failures that were retried, and the backoff before the latest retry.
     failures: u32,
-    pause: Micros,
-    /// How it ended, for its log line.
+    last_backoff: Micros,
+    /// Outcome, for the log line.
     outcome: Cell<&'static str>,
     _in_flight: InFlight,
 }
 
-impl Flow {
-    /// A request that arrived.
+impl Lifecycle {
+    /// Creates the state of a request that just arrived.
     pub fn new(in_flight: InFlight, id: Id, head: Head, pool: Pool, span: Span) -> Self {
-        let (sender, replies) = async_channel::bounded(REPLIES);
+        let (sender, replies) = async_channel::bounded(REPLY_CAPACITY);
         let shared = in_flight.shared();
-        span.note("drumusher.request_id", id::to_text(id));
-        span.note("drumusher.workspace", head.workspace.to_string());
-        span.note("drumusher.class", head.class.to_string());
-        span.note("drumusher.pool", pool.to_string());
+        span.set_attribute("drumusher.request_id", id::to_text(id));
+        span.set_attribute("drumusher.workspace", head.workspace.to_string());
+        span.set_attribute("drumusher.class", head.class.to_string());
+        span.set_attribute("drumusher.pool", pool.to_string());
         shared.explanations.add(id, format!("{pool}: arrived in class {}", head.class));
         shared.budgets.earn(&head.class);
-        Flow {
+        Lifecycle {
             repeatable: head.settings.repeatable,
             zones: zones(&shared, &pool, id),
             shared,
@@ -98,77 +98,77 @@
             prefix: 0,
             produced: 0,
             attempts: 0,
-            produced_before: 0,
+            produced_before_attempt: 0,
             preemptions: 0,
             avoid: None,
             replies,
             sender,
-            open: false,
-            began: clock::now(),
+            outstanding: false,
+            started: clock::now(),
             failures: 0,
-            pause: 0,
+            last_backoff: 0,
             outcome: Cell::new("caller gone"),
             _in_flight: in_flight,
         }
     }
 
-    /// Asks until a backend server is granted.
+    /// Requests grants until one names a usable backend server.
     ///
     /// # Errors
     ///
-    /// The refusal for the caller.
-    pub async fn granted(&mut self) -> Result<Backend, Error> {
+    /// The error to respond with.
+    pub async fn acquire_backend(&mut self) -> Result<Backend, Error> {
         self.back_off().await;
         loop {
             let Some(zone) = self.zones.first().cloned() else {
-                let message = format!("nothing serves {}", self.pool);
-                return Err(self.refused(Kind::NoServer, message, 1_000));
+                let message = format!("no backend server serves {}", self.pool);
+                return Err(self.refusal_error(Kind::NoServer, message, 1_000));
             };
             let span = self.span.child(self.shared.telemetry.tracer(), "ask");
-            span.note("drumusher.availability_zone", zone.to_string());
-            self.ask(zone);
-            let reply = self.wait().await;
+            span.set_attribute("drumusher.availability_zone", zone.to_string());
+            self.request_grant(zone);
+            let reply = self.await_reply().await;
             match reply {
                 Some((Reply::Grant(Grant { server, dispatcher, .. }), at)) => {
-                    span.note("drumusher.dispatcher", dispatcher.to_string());
-                    span.note("drumusher.server", server.to_string());
+                    span.set_attribute("drumusher.dispatcher", dispatcher.to_string());
+                    span.set_attribute("drumusher.server", server.to_string());
                     span.end();
-                    if let Some(backend) = self.usable(&server, at) {
+                    if let Some(backend) = self.usable_backend(&server, at) {
                         return Ok(backend);
                     }
-                    // The dispatcher will see the same soon; until then another server is better.
+                    // The dispatcher will learn the same shortly; until then, another server is preferred.
                     self.avoid = Some(server);
-                    self.end(Outcome::Cancelled);
-                    sleep(UNUSABLE).await;
+                    self.finish_attempt(Outcome::Cancelled);
+                    sleep(UNUSABLE_GRANT_PAUSE).await;
                 }
                 Some((Reply::Refuse(refusal, retry_after), _)) => {
                     span.fail("refused");
                     span.end();
-                    self.open = false;
+                    self.outstanding = false;
                     self.overflow(refusal, retry_after)?;
                 }
                 Some((Reply::Preempt, _)) => {}
                 None => {
                     span.fail("no answer");
-                    self.end(Outcome::Cancelled);
-                    let message = "no dispatcher answered in time";
-                    return Err(self.refused(Kind::WaitBound, message, 1_000));
+                    self.finish_attempt(Outcome::Cancelled);
+                    let message = "no dispatcher replied in time";
+                    return Err(self.refusal_error(Kind::WaitBound, message, 1_000));
                 }
             }
         }
     }
 
-    /// Pauses before the second and each later repetition; the first goes elsewhere at once.
+    /// Backs off before the second and each later retry. The first retry goes to another server at once.
     async fn back_off(&mut self) {
         if self.failures > 1 {
-            self.pause = backoff(self.pause, rand::random());
-            sleep(Millis((self.pause / MILLISECOND) as u32)).await;
+            self.last_backoff = backoff(self.last_backoff, rand::random());
+            sleep(Millis((self.last_backoff / MILLISECOND) as u32)).await;
         }
     }
 
-    fn ask(&mut self, area: Arc<str>) {
+    fn request_grant(&mut self, area: Arc<str>) {
         while self.replies.try_recv().is_ok() {}
-        let own = Own {
+        let request = Own {
             attempt: Attempt::First,
             digest: None,
             id: self.id,
@@ -187,66 +187,72 @@
             parts: Vec::new(),
             replies: self.sender.clone(),
         };
-        self.open = true;
-        self.shared.broker.send(Input::Open(Box::new(own)));
+        self.outstanding = true;
+        self.shared.broker.send(Input::Open(Box::new(request)));
     }
 
-    /// Waits for the dispatcher's answer and notes when it came.
-    async fn wait(&self) -> Option<(Reply, u64)> {
-        let longest = self.head.settings.wait_ms + PATIENCE_MS;
+    /// Waits for the dispatcher's reply and records when it arrived.
+    async fn await_reply(&self) -> Option<(Reply, u64)> {
+        let longest = self.head.settings.wait_ms + DISPATCHER_GRACE_MS;
         let reply = timeout(Millis(longest as u32), self.replies.recv()).await;
         reply.ok()?.ok().map(|reply| (reply, clock::now()))
     }
 
-    /// The granted backend server, unless it is leaving or gone by the entry's own view, or the
-    /// grant is too old.
-    fn usable(&self, server: &str, granted: u64) -> Option<Backend> {
-        if clock::now() > granted + GRANT_EXPIRY {
+    /// Returns the granted backend server, unless it is leaving or missing in this instance's directory, or the grant
+    /// has expired.
+    fn usable_backend(&self, server: &str, acquire_backend: u64) -> Option<Backend> {
+        if clock::now() > acquire_backend + GRANT_EXPIRY {
             return None;
         }
         let directory = self.shared.directory.load();
         directory.backend(&self.pool, server).filter(|backend| !backend.leaving).cloned()
     }
 
-    /// After a refusal: asks the next availability zone, or gives up at once.
+    /// Handles a refusal: moves on to the next availability zone, or returns the final error.
     fn overflow(&mut self, refusal: i16, retry_after: u64) -> Result<(), Error> {
-        let own_limit = refusal == Refusal::WorkspaceLimit as i16;
+        let workspace_limited = refusal == Refusal::WorkspaceLimit as i16;
         self.zones.remove(0);
-        if !own_limit && !self.zones.is_empty() {
+        if !workspace_limited && !self.zones.is_empty() {
             self.shared.telemetry.count("drumusher.overflow", &[]);
             return Ok(());
         }
         let (kind, message) = match refusal {
             r if r == Refusal::QueueFull as i16 => {
-                (Kind::QueueFull, "the queue is full and this request was the one to go")
+                (Kind::QueueFull, "the queue is full and this request was evicted")
             }
             r if r == Refusal::WaitBound as i16 => {
                 (Kind::WaitBound, "the request would wait longer than its class allows")
             }
             r if r == Refusal::WorkspaceLimit as i16 => {
-                (Kind::WorkspaceLimit, "the workspace is at its own limit")
+                (Kind::WorkspaceLimit, "the workspace has reached its limit")
             }
-            _ => (Kind::NoServer, "no backend server can be used"),
+            _ => (Kind::NoServer, "no backend server is usable"),
         };
-        Err(self.refused(kind, message, retry_after / 1_000))
+        Err(self.refusal_error(kind, message, retry_after / 1_000))
     }
 
-    /// A final refusal: the request was not run, or not again.
-    pub fn refused(&self, kind: Kind, message: impl Into<String>, retry_after_ms: u64) -> Error {
-        self.ended(kind.code());
+    /// Returns the error of a final refusal: the request did not run, or not again. It carries an arrival token, with
+    /// which the client keeps its position in the queue.
+    pub fn refusal_error(
+        &self,
+        kind: Kind,
+        message: impl Into<String>,
+        retry_after_ms: u64,
+    ) -> Error {
+        self.set_outcome(kind.code());
         let head = &self.head;
         let secret = &self.shared.settings.fleet_secret;
-        let place = arrival_token::issue(secret, &head.workspace, &head.class, head.arrived_ms);
+        let token = arrival_token::issue(secret, &head.workspace, &head.class, head.arrived_ms);
         let error =
-            Error::new(kind, message).with_retry_after(retry_after_ms).with_arrival_token(place);
+            Error::new(kind, message).with_retry_after(retry_after_ms).with_arrival_token(token);
         if self.produced > 0 || self.attempts > 0 && !self.repeatable {
             return error.with_ran(Ran::Unknown);
         }
         error
     }
 
-    /// Waits until the dispatcher orders the attempt stopped.
-    pub async fn preempted(&self) {
+    /// Waits until the dispatcher preempts the running attempt.
+    pub async fn await_preemption(&self) {
         loop {
             match self.replies.recv().await {
                 Ok(Reply::Preempt) => return,
@@ -256,53 +262,53 @@
         }
     }
 
-    /// Reports on the running attempt.
-    pub fn report(&self, first_token: Option<u64>, gap: u64) {
-        let report = Report { produced: self.produced, first_token, gap };
-        if !self.shared.broker.try_send(Input::Progress(self.id, report)) {
+    /// Reports progress of the running attempt to the dispatcher.
+    pub fn report_progress(&self, first_token: Option<u64>, gap: u64) {
+        let report_progress = Report { produced: self.produced, first_token, gap };
+        if !self.shared.broker.try_send(Input::Progress(self.id, report_progress)) {
             self.shared.telemetry.count("drumusher.ring.full", &[("ring", "broker")]);
         }
     }
 
-    /// Says how the attempt ended. The grant is free again.
-    pub fn end(&mut self, outcome: Outcome) {
-        if !std::mem::take(&mut self.open) {
+    /// Reports the outcome of the attempt to the dispatcher, which releases the grant.
+    pub fn finish_attempt(&mut self, outcome: Outcome) {
+        if !std::mem::take(&mut self.outstanding) {
             return;
         }
         let number = outcome as i16;
         self.shared.broker.send(Input::Finish(self.id, number, self.produced));
     }
 
-    /// Counts an attempt that is about to be handed over.
+    /// Counts an attempt that is about to be sent.
     pub fn begin_attempt(&mut self) {
         self.attempts += 1;
-        self.produced_before = self.produced;
+        self.produced_before_attempt = self.produced;
     }
 
-    /// After an attempt that broke: whether there may be another one. A connection that was never
-    /// made does not count against a request that may not be repeated. An attempt that brought
-    /// tokens is continued, not repeated, and takes nothing from the retry budget: one pause of an
-    /// engine breaks more streams than a budget saves up.
-    pub fn may_retry(&mut self, server: &str, surely_not_run: bool) -> bool {
+    /// Returns whether a failed attempt may be retried. A request that may not be repeated is still retried if it
+    /// certainly did not run, for example because no connection was established. An attempt that delivered tokens is
+    /// continued rather than repeated and costs no retry budget: one pause of an engine breaks more streams than a
+    /// budget can accumulate.
+    pub fn may_retry(&mut self, server: &str, not_run: bool) -> bool {
         self.avoid = Some(server.into());
         self.failures += 1;
-        let allowed = self.repeatable || surely_not_run;
-        let continued = self.produced > self.produced_before;
+        let allowed = self.repeatable || not_run;
+        let continued = self.produced > self.produced_before_attempt;
         allowed
             && self.attempts < self.shared.settings.backend.attempts
             && (continued || self.spend_retry())
     }
 
     fn spend_retry(&self) -> bool {
-        let granted = self.shared.budgets.spend(&self.head.class);
-        if !granted {
+        let acquire_backend = self.shared.budgets.spend(&self.head.class);
+        if !acquire_backend {
             let class = &*self.head.class;
             self.shared.telemetry.count("drumusher.retries.refused", &[("class", class)]);
         }
-        granted
+        acquire_backend
     }
 
-    /// Logs why an attempt brought no whole answer.
+    /// Logs why an attempt failed.
     pub fn log_failure(&self, server: &str, reason: &'static str) {
         self.shared.explanations.add(self.id, format!("attempt at {server} {reason}"));
         self.shared.telemetry.count("drumusher.attempt.failures", &[("reason", reason)]);
@@ -316,29 +322,29 @@
         );
     }
 
-    /// Notes how the request ended.
-    pub fn ended(&self, outcome: &'static str) {
+    /// Sets the outcome that is logged at the end of the request.
+    pub fn set_outcome(&self, outcome: &'static str) {
         self.outcome.set(outcome);
     }
 
-    /// Counts a preemption by a higher tier.
+    /// Counts a preemption by a higher priority tier.
     pub fn count_preemption(&mut self) {
         self.preemptions = self.preemptions.saturating_add(1);
     }
 
-    /// Microseconds since the request came to this instance.
+    /// Microseconds since the request reached this instance.
     pub fn age(&self) -> u64 {
-        clock::now() - self.began
+        clock::now() - self.started
     }
 }
 
-impl Drop for Flow {
+impl Drop for Lifecycle {
     fn drop(&mut self) {
-        if self.open {
+        if self.outstanding {
             let finish = Input::Finish(self.id, CANCELLED, self.produced);
             self.shared.broker.send(finish);
         }
-        // Writing a line takes its worker's time, so that what went well is told on demand only.
+        // Writing a log line takes time of the HTTP worker, so successful requests are logged at debug level only.
         let level = if self.outcome.get() == DONE { Level::Debug } else { Level::Info };
         log::log!(
             level,
@@ -356,15 +362,16 @@
     }
 }
 
-/// The availability zones to ask: the own one, then others that have backend servers of the pool,
+/// Returns the availability zones to try: the instance's own first, then others that have backend servers of the pool,
 /// in an order that differs between requests.
 fn zones(shared: &Shared, pool: &Pool, id: Id) -> Vec<Arc<str>> {
     let own = shared.area.clone();
-    let serving = shared.directory.load().areas(pool);
-    let others = serving.iter().filter(|zone| **zone != own).map(|zone| &**zone);
+    let serving_zones = shared.directory.load().areas(pool);
+    let others = serving_zones.iter().filter(|zone| **zone != own).map(|zone| &**zone);
     let ranked = rank::order(&id::to_text(id), others);
-    let mut zones: Vec<Arc<str>> = ranked.into_iter().take(OVERFLOWS).map(Arc::from).collect();
-    if serving.contains(&own) {
+    let mut zones: Vec<Arc<str>> =
+        ranked.into_iter().take(MAX_OVERFLOW_ZONES).map(Arc::from).collect();
+    if serving_zones.contains(&own) {
         zones.insert(0, own);
     }
     zones
--- a/crates/drumusher/src/request/answer.rs
+++ b/crates/drumusher/src/request/response.rs
@@ -1,15 +1,15 @@
-//! Shapes of answers.
+//! Response formats.
 
 use ntex::{http::header::HeaderValue, web::HttpResponse};
 use serde_json::{Value, json};
 
-use super::{completion::Form, head::REQUEST_ID_HEADER, id, sse::Scanner, trace::Span};
+use super::{completion::CompletionKind, head::REQUEST_ID_HEADER, id, sse::Scanner, trace::Span};
 
-/// The header that names the trace of a request.
+/// Response header with the trace ID of the request.
 pub const TRACE_HEADER: &str = "Drumusher-Trace";
 
-/// Puts the request's identity and its trace into an answer's headers.
-pub fn mark(response: &mut HttpResponse, request_id: u128, span: &Span) {
+/// Adds the request ID and trace ID to the response headers.
+pub fn add_headers(response: &mut HttpResponse, request_id: u128, span: &Span) {
     let headers = response.headers_mut();
     let values = [(REQUEST_ID_HEADER, id::to_text(request_id)), (TRACE_HEADER, span.trace())];
     for (name, value) in values {
@@ -20,16 +20,22 @@
     }
 }
 
-/// A whole completion in one JSON object.
-pub fn completion(form: Form, request: u128, model: &str, scanner: &Scanner, prompt: u32) -> Value {
+/// Builds the JSON body of a completion that is not streamed.
+pub fn completion(
+    kind: CompletionKind,
+    request: u128,
+    model: &str,
+    scanner: &Scanner,
+    prompt: u32,
+) -> Value {
     let text = scanner.text();
     let reason = scanner.finish_reason();
-    let (object, choice) = match form {
-        Form::Plain => {
+    let (object, choice) = match kind {
+        CompletionKind::Text => {
             let choice = json!({"index": 0, "text": text, "finish_reason": reason});
             ("text_completion", choice)
         }
-        Form::Chat => {
+        CompletionKind::Chat => {
             let message = json!({"role": "assistant", "content": text});
             let choice = json!({"index": 0, "message": message, "finish_reason": reason});
             ("chat.completion", choice)
--- a/crates/drumusher/src/request/service.rs
+++ b/crates/drumusher/src/request/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Calls to plain services.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    answer,
-    attempt::{self, Handover},
+    attempt::{self, AttemptRequest},
     claim::{self, Claim},
-    flow::{DONE, Flow},
     head::Head,
     id,
     in_flight::InFlight,
+    lifecycle::{DONE, Lifecycle},
+    response,
     trace::Span,
 };
 use crate::{
@@ -28,49 +28,49 @@
     version::{Backend, Pool},
 };
 
-/// Longest answer of a service that is relayed, in bytes.
-const LONGEST_ANSWER: usize = 8 * 1024 * 1024;
+/// Maximum size of a service's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A call as the caller made it.
+/// A call made by a client.
 pub struct Call<'a> {
-    /// The service's name.
+    /// Name of the service.
     pub service: &'a str,
     /// Path and query at the service.
     pub path: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The caller's headers.
+    /// Headers of the client.
     pub headers: &'a HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A whole answer of a service.
-struct Answer {
+/// A complete response of a service.
+struct ServiceResponse {
     status: u16,
     content_type: String,
     body: Bytes,
 }
 
-/// Serves one call.
+/// Handles a service call.
 pub async fn serve(
     shared: Arc<Shared>,
     client: Client,
     call: Call<'_>,
     in_flight: InFlight,
 ) -> HttpResponse {
-    let span = Span::entry(shared.telemetry.tracer(), call.headers);
+    let span = Span::server(shared.telemetry.tracer(), call.headers);
     let request_id = id::random();
-    let served = start(shared, client, &call, in_flight, (request_id, &span)).await;
+    let served = execute(shared, client, &call, in_flight, (request_id, &span)).await;
     let mut response = served.unwrap_or_else(|error| {
         span.fail(error.kind.code());
         error.response()
     });
-    answer::mark(&mut response, request_id, &span);
+    response::add_headers(&mut response, request_id, &span);
     response
 }
 
-async fn start(
+async fn execute(
     shared: Arc<Shared>,
     client: Client,
     call: &Call<'_>,
@@ -84,22 +84,22 @@
         return Err(Error::new(Kind::UnknownService, message));
     }
     let settings = settings(&head, call.service);
-    let safe = matches!(call.method, Method::GET | Method::HEAD | Method::OPTIONS);
-    let repeatable = safe || settings.repeatable && head.settings.repeatable;
+    let is_safe = matches!(call.method, Method::GET | Method::HEAD | Method::OPTIONS);
+    let repeatable = is_safe || settings.repeatable && head.settings.repeatable;
     let claim = match &head.idempotency_key {
         Some(key) if !repeatable => {
-            let subject = claim::subject(&head.workspace, call.service, key);
+            let claim_key = claim::derive_key(&head.workspace, call.service, key);
             let request = fingerprint(call);
-            match claim::obtain(&shared, request_id, subject, request).await? {
+            match claim::obtain(&shared, request_id, claim_key, request).await? {
                 claim::Obtained::Claim(claim) => Some(claim),
-                claim::Obtained::Answer(response) => return Ok(response),
+                claim::Obtained::Replay(response) => return Ok(response),
             }
         }
         _ => None,
     };
-    let mut flow = Flow::new(in_flight, request_id, head, pool, span.clone());
-    flow.repeatable = repeatable;
-    run(&mut flow, &client, call, &settings, claim).await
+    let mut lifecycle = Lifecycle::new(in_flight, request_id, head, pool, span.clone());
+    lifecycle.repeatable = repeatable;
+    run_attempts(&mut lifecycle, &client, call, &settings, claim).await
 }
 
 fn settings(head: &Head, service: &str) -> config::Service {
@@ -113,113 +113,115 @@
     xxh3_64_with_seed(&call.body, seed)
 }
 
-async fn run(
-    flow: &mut Flow,
+async fn run_attempts(
+    lifecycle: &mut Lifecycle,
     client: &Client,
     call: &Call<'_>,
     settings: &config::Service,
     mut claim: Option<Claim>,
 ) -> Result<HttpResponse, Error> {
     loop {
-        let backend = flow.granted().await?;
-        let span = flow.span.child(flow.shared.telemetry.tracer(), "attempt");
-        span.note("drumusher.server", backend.name.to_string());
-        flow.begin_attempt();
-        flow.report(None, 0);
+        let backend = lifecycle.acquire_backend().await?;
+        let span = lifecycle.span.child(lifecycle.shared.telemetry.tracer(), "attempt");
+        span.set_attribute("drumusher.server", backend.name.to_string());
+        lifecycle.begin_attempt();
+        lifecycle.report_progress(None, 0);
         if let Some(claim) = &mut claim {
-            claim.handing_over();
+            claim.mark_sent();
         }
-        let error = match attempt(flow, client, call, settings, &backend, &span).await {
-            Ok(answer) => {
+        let error = match attempt(lifecycle, client, call, settings, &backend, &span).await {
+            Ok(response) => {
                 span.end();
-                flow.end(Outcome::Done);
-                flow.ended(DONE);
-                flow.shared.telemetry.count_request(&flow.head.class, "done", 0);
-                return Ok(relay(answer, claim));
+                lifecycle.finish_attempt(Outcome::Done);
+                lifecycle.set_outcome(DONE);
+                lifecycle.shared.telemetry.count_request(&lifecycle.head.class, "done", 0);
+                return Ok(respond(response, claim));
             }
             Err(error) => error,
         };
-        span.fail(error.words());
+        span.fail(error.as_str());
         span.end();
-        flow.end(Outcome::Failed);
-        flow.log_failure(&backend.name, error.words());
-        let surely_not_run = error.surely_not_run();
-        if surely_not_run && let Some(claim) = &mut claim {
-            claim.not_handed_over();
+        lifecycle.finish_attempt(Outcome::Failed);
+        lifecycle.log_failure(&backend.name, error.as_str());
+        let not_run = error.not_run();
+        if not_run && let Some(claim) = &mut claim {
+            claim.mark_not_sent();
         }
-        if !flow.may_retry(&backend.name, surely_not_run) {
-            flow.shared.telemetry.count_request(&flow.head.class, "failed", 0);
-            return Err(final_error(flow, surely_not_run));
+        if !lifecycle.may_retry(&backend.name, not_run) {
+            lifecycle.shared.telemetry.count_request(&lifecycle.head.class, "failed", 0);
+            return Err(final_error(lifecycle, not_run));
         }
     }
 }
 
-fn final_error(flow: &Flow, surely_not_run: bool) -> Error {
-    // A request that may not be repeated is handed over once, so that if this attempt did not
-    // reach a server, none did.
-    if surely_not_run && (!flow.repeatable || flow.attempts == 1) {
+fn final_error(lifecycle: &Lifecycle, not_run: bool) -> Error {
+    // A request that may not be repeated is sent at most once, so if this attempt reached no server, none did.
+    if not_run && (!lifecycle.repeatable || lifecycle.attempts == 1) {
         let message = "no server of the service could be reached";
-        return flow.refused(Kind::NoServer, message, 1_000).with_ran(Ran::No);
+        return lifecycle.refusal_error(Kind::NoServer, message, 1_000).with_ran(Ran::No);
     }
-    flow.ended(Kind::BackendFailed.code());
-    Error::new(Kind::BackendFailed, "the service did not answer; the call may have run")
+    lifecycle.set_outcome(Kind::BackendFailed.code());
+    Error::new(Kind::BackendFailed, "the service did not respond; the call may have run")
 }
 
 async fn attempt(
-    flow: &Flow,
+    lifecycle: &Lifecycle,
     client: &Client,
     call: &Call<'_>,
     settings: &config::Service,
     backend: &Backend,
     span: &Span,
-) -> Result<Answer, attempt::Error> {
-    let headers = passed(call.headers);
-    let handover = Handover {
+) -> Result<ServiceResponse, attempt::Error> {
+    let headers = forwarded_headers(call.headers);
+    let request = AttemptRequest {
         address: &backend.address,
         method: call.method.clone(),
         path: call.path,
-        id: flow.id,
+        id: lifecycle.id,
         traceparent: span.traceparent(),
         headers: &headers,
         body: call.body.clone(),
     };
-    let longest = ntex::time::Millis(settings.timeout_ms as u32);
-    let sent = ntex::time::timeout(longest, attempt::send(client, handover)).await;
+    let timeout = ntex::time::Millis(settings.timeout_ms as u32);
+    let sent = ntex::time::timeout(timeout, attempt::send(client, request)).await;
     let response = sent.unwrap_or(Err(attempt::Error::Broken))?;
-    whole(response, settings.timeout_ms).await
+    read_response(response, settings.timeout_ms).await
 }
 
-/// Reads a whole answer; a body that breaks off is none.
-async fn whole(response: ClientResponse, longest_ms: u64) -> Result<Answer, attempt::Error> {
+/// Reads a complete response; a truncated body is an error.
+async fn read_response(
+    response: ClientResponse,
+    timeout_ms: u64,
+) -> Result<ServiceResponse, attempt::Error> {
     let content_type = response.header("content-type").and_then(|value| value.to_str().ok());
     let content_type = content_type.unwrap_or("application/octet-stream").to_string();
     let status = response.status().as_u16();
     let mut payload = response.take_payload();
     let mut body = BytesMut::new();
-    while let Some(piece) = attempt::piece(&mut payload, longest_ms).await? {
-        body.extend_from_slice(&piece);
-        if body.len() > LONGEST_ANSWER {
+    while let Some(chunk) = attempt::next_chunk(&mut payload, timeout_ms).await? {
+        body.extend_from_slice(&chunk);
+        if body.len() > MAX_RESPONSE_BYTES {
             return Err(attempt::Error::Broken);
         }
     }
-    Ok(Answer { status, content_type, body: body.freeze() })
+    Ok(ServiceResponse { status, content_type, body: body.freeze() })
 }
 
-fn passed(headers: &HeaderMap) -> Vec<(&'static str, String)> {
-    let mut passed = Vec::new();
-    for name in attempt::PASSED {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<(&'static str, String)> {
+    let mut forwarded = Vec::new();
+    for name in attempt::FORWARDED_HEADERS {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
-        passed.extend(value.map(|value| (name, value.to_string())));
+        forwarded.extend(value.map(|value| (name, value.to_string())));
     }
-    passed
+    forwarded
 }
 
-fn relay(answer: Answer, claim: Option<Claim>) -> HttpResponse {
+fn respond(received: ServiceResponse, claim: Option<Claim>) -> HttpResponse {
     if let Some(claim) = claim {
-        claim.done(answer.status, &answer.content_type, Some(&answer.body));
+        claim.complete(received.status, &received.content_type, Some(&received.body));
     }
-    let status = ntex::http::StatusCode::from_u16(answer.status);
+    let status = ntex::http::StatusCode::from_u16(received.status);
     let mut response = HttpResponse::build(status.unwrap_or(ntex::http::StatusCode::BAD_GATEWAY));
-    response.content_type(answer.content_type.as_str());
-    response.body(answer.body)
+    response.content_type(received.content_type.as_str());
+    response.body(received.body)
 }
--- a/crates/drumusher/src/request/sse.rs
+++ b/crates/drumusher/src/request/sse.rs
@@ -1,33 +1,34 @@
-//! Reading an engine's event stream: whole events only, each token once, and nothing lost.
+//! Scanner for an engine's stream of server-sent events: passes on only complete events and each token exactly once,
+//! and detects missing tokens.
 
 use memchr::memmem;
 use ntex::util::{Bytes, BytesMut};
 
-/// Longest event in bytes.
-const LONGEST: usize = 1_048_576;
+/// Maximum size of an event in bytes.
+const MAX_EVENT_BYTES: usize = 1_048_576;
 
-/// Why a stream is not the answer.
+/// Why a stream was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Tokens are missing between two events.
     Gap,
-    /// An event is too long or is not of the protocol.
+    /// An event is too long or violates the protocol.
     Malformed,
 }
 
-/// What one piece of the stream brought.
+/// Output for one chunk of the stream.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Piece {
-    /// Events for the caller, each token once.
+pub struct Events {
+    /// Events to send to the client, each token once.
     pub bytes: Bytes,
-    /// New tokens among them.
+    /// Number of new tokens among them.
     pub tokens: u32,
 }
 
-/// Follows the stream of one request over all its attempts.
+/// Scans the event stream of one request, across all of its attempts.
 #[derive(Debug, Default)]
 pub struct Scanner {
-    held: BytesMut,
+    buffer: BytesMut,
     text: String,
     delivered: u32,
     finished: bool,
@@ -36,65 +37,65 @@
 }
 
 impl Scanner {
-    /// At the beginning of a request.
+    /// Creates a scanner for a new request.
     pub fn new() -> Self {
         Scanner::default()
     }
 
-    /// Tokens delivered so far.
+    /// Returns the number of tokens delivered so far.
     pub fn delivered(&self) -> u32 {
         self.delivered
     }
 
-    /// Whether the finish marker was seen. A stream that ends before is not whole.
+    /// Returns whether a finish reason was seen. A stream that ends before that is incomplete.
     pub fn finished(&self) -> bool {
         self.finished
     }
 
-    /// Whether the last event was seen.
+    /// Returns whether the final `[DONE]` event was seen.
     pub fn done(&self) -> bool {
         self.done
     }
 
-    /// Why the answer ended, in the engine's word.
+    /// Returns the engine's finish reason.
     pub fn finish_reason(&self) -> &str {
         &self.reason
     }
 
-    /// The text delivered so far.
+    /// Returns the text delivered so far.
     pub fn text(&self) -> String {
         serde_json::from_str(&format!("\"{}\"", self.text)).unwrap_or_default()
     }
 
-    /// Forgets the unfinished event of an attempt that broke.
+    /// Discards the incomplete event of a broken attempt.
     pub fn restart(&mut self) {
-        self.held.clear();
+        self.buffer.clear();
     }
 
-    /// Takes a piece of the stream.
+    /// Processes a chunk of the stream.
     ///
     /// # Errors
     ///
-    /// [`Error`] if the rest of this attempt is of no use. What came before stays delivered.
-    pub fn push(&mut self, chunk: &[u8]) -> Result<Piece, Error> {
-        self.held.extend_from_slice(chunk);
-        let mut bytes = BytesMut::with_capacity(self.held.len());
+    /// [`Error`] if the rest of this attempt can't be used. Events that were returned before stay delivered.
+    pub fn push(&mut self, chunk: &[u8]) -> Result<Events, Error> {
+        self.buffer.extend_from_slice(chunk);
+        let mut bytes = BytesMut::with_capacity(self.buffer.len());
         let mut tokens = 0;
-        while let Some(end) = memmem::find(&self.held, b"\n\n") {
-            let event = self.held.split_to(end + 2);
-            if let Some(new) = self.event(&event)? {
+        while let Some(end) = memmem::find(&self.buffer, b"\n\n") {
+            let event = self.buffer.split_to(end + 2);
+            if let Some(new) = self.process_event(&event)? {
                 bytes.extend_from_slice(&event);
                 tokens += new;
             }
         }
-        if self.held.len() > LONGEST {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(Error::Malformed);
         }
-        Ok(Piece { bytes: bytes.freeze(), tokens })
+        Ok(Events { bytes: bytes.freeze(), tokens })
     }
 
-    /// The new tokens of an event, or `None` if it is not to be passed on.
-    fn event(&mut self, event: &[u8]) -> Result<Option<u32>, Error> {
+    /// Returns the number of new tokens in an event, or `None` if it is not to be passed on.
+    fn process_event(&mut self, event: &[u8]) -> Result<Option<u32>, Error> {
         let Some(data) = event.strip_prefix(b"data: ") else {
             return Ok(None);
         };
@@ -116,7 +117,7 @@
         if index > self.delivered {
             return Err(Error::Gap);
         }
-        let text = text_of(data);
+        let text = token_text(data);
         let has_token = index == self.delivered && !text.is_empty();
         if has_token {
             let text = std::str::from_utf8(text).map_err(|_| Error::Malformed)?;
@@ -125,13 +126,13 @@
         }
         if finish && !self.finished {
             self.finished = true;
-            self.reason = reason_of(data);
+            self.reason = finish_reason_of(data);
         }
         Ok(Some(u32::from(has_token)))
     }
 }
 
-/// The number that follows `key` in JSON text.
+/// Returns the number that follows `key` in JSON text.
 fn number_after(data: &[u8], key: &[u8]) -> Option<u32> {
     let rest = &data[memmem::find(data, key)? + key.len()..];
     let digits = rest.iter().skip_while(|b| **b == b' ').take_while(|b| b.is_ascii_digit());
@@ -143,14 +144,14 @@
     number
 }
 
-/// The first byte of the value that follows `key` in JSON text.
+/// Returns the first byte of the value that follows `key` in JSON text.
 fn value_after(data: &[u8], key: &[u8]) -> Option<u8> {
     let rest = &data[memmem::find(data, key)? + key.len()..];
     rest.iter().copied().find(|b| *b != b' ')
 }
 
-/// The word of an event's finish marker.
-fn reason_of(data: &[u8]) -> String {
+/// Returns the finish reason of an event.
+fn finish_reason_of(data: &[u8]) -> String {
     let key = b"\"finish_reason\":";
     let Some(start) = memmem::find(data, key) else {
         return String::new();
@@ -160,8 +161,8 @@
     String::from_utf8_lossy(&inside[..string_end(inside)]).into_owned()
 }
 
-/// The still escaped text of an event: the choice's `text` or `content`.
-fn text_of(data: &[u8]) -> &[u8] {
+/// Returns the text of an event, still JSON-escaped: the choice's `text` or `content`.
+fn token_text(data: &[u8]) -> &[u8] {
     let keys: [&[u8]; 2] = [b"\"text\":", b"\"content\":"];
     let Some(start) = keys.iter().find_map(|key| Some(memmem::find(data, key)? + key.len())) else {
         return b"";
@@ -173,7 +174,7 @@
     &inside[..string_end(inside)]
 }
 
-/// The length of a JSON string up to its closing quote.
+/// Returns the length of a JSON string up to its closing quote.
 fn string_end(inside: &[u8]) -> usize {
     let mut at = 0;
     while at < inside.len() {
--- a/crates/drumusher/src/request/stream.rs
+++ b/crates/drumusher/src/request/stream.rs
@@ -1,4 +1,4 @@
-//! The answer of one completion, over all its attempts.
+//! Token stream of a completion, across all of its attempts.
 
 use drumusher_schedule::ask::Outcome;
 use ntex::{
@@ -9,10 +9,10 @@
 use serde_json::{Map, Value, json};
 
 use super::{
-    attempt::{self, Handover},
+    attempt::{self, AttemptRequest},
     claim::Claim,
-    completion::Form,
-    flow::{DONE, Flow},
+    completion::CompletionKind,
+    lifecycle::{DONE, Lifecycle},
     sse::Scanner,
     trace::Span,
 };
@@ -22,143 +22,149 @@
     version::Backend,
 };
 
-/// Time between two reports on a running attempt, in microseconds.
-const REPORT_EVERY: u64 = 500_000;
-/// Longest wait for the end of an answer whose last event came, in milliseconds.
+/// Interval between progress reports on a running attempt, in microseconds.
+const REPORT_INTERVAL: u64 = 500_000;
+/// Maximum wait for the end of a response body after its last event, in milliseconds.
 const DRAIN_MS: u64 = 20;
 
-/// The answer of one completion, over all its attempts.
-pub struct Stream {
-    /// The request's way through the dispatcher.
-    pub flow: Flow,
-    /// What was delivered so far.
+/// Token stream of a completion, across all of its attempts.
+pub struct CompletionStream {
+    /// Lifecycle of the request.
+    pub lifecycle: Lifecycle,
+    /// Scanner, which holds what was delivered so far.
     pub scanner: Scanner,
     client: Client,
-    form: Form,
+    kind: CompletionKind,
     body: Map<String, Value>,
     claim: Option<Claim>,
-    running: Option<Running>,
+    active: Option<ActiveAttempt>,
     ended: bool,
 }
 
-/// The attempt that runs.
-struct Running {
+/// The running attempt.
+struct ActiveAttempt {
     payload: Payload,
     backend: Backend,
     span: Span,
-    handed: u64,
+    sent_at: u64,
     first_token: Option<u64>,
-    reported: u64,
+    reported_at: u64,
     reported_tokens: u32,
 }
 
-impl Stream {
-    /// An answer of which nothing came yet. `body` is the caller's, as an engine takes it.
+impl CompletionStream {
+    /// Creates a stream without an attempt. `body` is the client's request body in the form that engines accept.
     pub fn new(
-        flow: Flow,
+        lifecycle: Lifecycle,
         client: Client,
-        form: Form,
+        kind: CompletionKind,
         body: Map<String, Value>,
         claim: Option<Claim>,
     ) -> Self {
         let scanner = Scanner::new();
-        Stream { flow, client, form, body, claim, scanner, running: None, ended: false }
+        CompletionStream {
+            lifecycle,
+            client,
+            kind,
+            body,
+            claim,
+            scanner,
+            active: None,
+            ended: false,
+        }
     }
 
-    /// The next piece for the caller; `None` when the answer is whole.
+    /// Returns the next bytes for the client, or `None` at the end of a complete response.
     ///
     /// # Errors
     ///
-    /// The final answer for the caller, when no further attempt is made.
-    pub async fn piece(&mut self) -> Result<Option<Bytes>, Error> {
+    /// The error to respond with when no further attempt is made.
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, Error> {
         while !self.ended {
-            let Some(mut running) = self.running.take() else {
+            let Some(mut active) = self.active.take() else {
                 self.attempt().await?;
                 continue;
             };
-            let backend = &self.flow.shared.settings.backend;
-            let longest = if running.first_token.is_none() {
-                backend.first_byte_ms
-            } else {
-                backend.stall_ms
-            };
-            let next = attempt::piece(&mut running.payload, longest);
-            match select(next, self.flow.preempted()).await {
+            let backend = &self.lifecycle.shared.settings.backend;
+            let longest =
+                if active.first_token.is_none() { backend.first_byte_ms } else { backend.stall_ms };
+            let next = attempt::next_chunk(&mut active.payload, longest);
+            match select(next, self.lifecycle.await_preemption()).await {
                 Either::Left(Ok(Some(chunk))) => {
-                    let Ok(piece) = self.scanner.push(&chunk) else {
-                        self.broke(running, attempt::Error::Broken)?;
+                    let Ok(events) = self.scanner.push(&chunk) else {
+                        self.handle_break(active, attempt::Error::Broken)?;
                         continue;
                     };
-                    self.note(&mut running, piece.tokens);
+                    self.record_tokens(&mut active, events.tokens);
                     if self.scanner.done() {
-                        self.finish(running).await;
+                        self.finish(active).await;
                     } else {
-                        self.running = Some(running);
+                        self.active = Some(active);
                     }
-                    if !piece.bytes.is_empty() {
-                        return Ok(Some(piece.bytes));
+                    if !events.bytes.is_empty() {
+                        return Ok(Some(events.bytes));
                     }
                 }
-                Either::Left(Ok(None)) if self.scanner.finished() => self.finish(running).await,
-                Either::Left(Ok(None)) => self.broke(running, attempt::Error::Broken)?,
-                Either::Left(Err(error)) => self.broke(running, error)?,
-                Either::Right(()) => self.preempted(running),
+                Either::Left(Ok(None)) if self.scanner.finished() => self.finish(active).await,
+                Either::Left(Ok(None)) => self.handle_break(active, attempt::Error::Broken)?,
+                Either::Left(Err(error)) => self.handle_break(active, error)?,
+                Either::Right(()) => self.preempt(active),
             }
         }
         Ok(None)
     }
 
-    /// Gets a grant and hands the request over, once.
+    /// Obtains a grant and makes one attempt.
     async fn attempt(&mut self) -> Result<(), Error> {
-        let backend = self.flow.granted().await?;
-        let span = self.flow.span.child(self.flow.shared.telemetry.tracer(), "attempt");
-        span.note("drumusher.server", backend.name.to_string());
-        span.note("server.address", backend.address.clone());
-        self.flow.begin_attempt();
+        let backend = self.lifecycle.acquire_backend().await?;
+        let span = self.lifecycle.span.child(self.lifecycle.shared.telemetry.tracer(), "attempt");
+        span.set_attribute("drumusher.server", backend.name.to_string());
+        span.set_attribute("server.address", backend.address.clone());
+        self.lifecycle.begin_attempt();
         if let Some(claim) = &mut self.claim {
-            claim.handing_over();
+            claim.mark_sent();
         }
-        self.flow.report(None, 0);
-        let handed = clock::now();
+        self.lifecycle.report_progress(None, 0);
+        let sent_at = clock::now();
         let body = self.body();
         let headers = [("content-type", "application/json".to_string())];
         let sent = attempt::send(
             &self.client,
-            Handover {
+            AttemptRequest {
                 address: &backend.address,
                 method: Method::POST,
-                path: self.form.path(),
-                id: self.flow.id,
+                path: self.kind.path(),
+                id: self.lifecycle.id,
                 traceparent: span.traceparent(),
                 headers: &headers,
                 body,
             },
         );
-        let response = match select(sent, self.flow.preempted()).await {
+        let response = match select(sent, self.lifecycle.await_preemption()).await {
             Either::Left(response) => response,
             Either::Right(()) => {
-                self.stop(&span);
+                self.stop_attempt(&span);
                 return Ok(());
             }
         };
         let payload = match response {
             Ok(response) if response.status().is_success() => response.take_payload(),
-            Ok(response) => return self.answered(response, &backend, &span).await,
-            Err(error) => return self.failed(&backend, &span, error),
+            Ok(response) => return self.handle_error_status(response, &backend, &span).await,
+            Err(error) => return self.handle_failure(&backend, &span, error),
         };
-        self.running = Some(Running {
+        self.active = Some(ActiveAttempt {
             payload,
             backend,
             span,
-            handed,
+            sent_at,
             first_token: None,
-            reported: handed,
-            reported_tokens: self.flow.produced,
+            reported_at: sent_at,
+            reported_tokens: self.lifecycle.produced,
         });
         Ok(())
     }
 
-    /// The body for the next attempt: from where the last one broke off.
+    /// Encodes the body for the next attempt, which resumes where the previous one broke off.
     fn body(&mut self) -> Bytes {
         let delivered = self.scanner.delivered();
         if delivered > 0 {
@@ -168,8 +174,8 @@
         Bytes::from(serde_json::to_vec(&self.body).unwrap_or_default())
     }
 
-    /// The engine answered with another status than success.
-    async fn answered(
+    /// Handles an unsuccessful status code of the engine.
+    async fn handle_error_status(
         &mut self,
         response: ntex::client::ClientResponse,
         backend: &Backend,
@@ -177,15 +183,15 @@
     ) -> Result<(), Error> {
         let status = response.status().as_u16();
         if status == 503 {
-            return self.failed(backend, span, attempt::Error::Full);
+            return self.handle_failure(backend, span, attempt::Error::Full);
         }
         if status >= 500 {
-            return self.failed(backend, span, attempt::Error::Failed(status));
+            return self.handle_failure(backend, span, attempt::Error::Failed(status));
         }
-        span.note("http.response.status_code", i64::from(status));
-        self.flow.end(Outcome::Done);
+        span.set_attribute("http.response.status_code", i64::from(status));
+        self.lifecycle.finish_attempt(Outcome::Done);
         self.ended = true;
-        self.flow.ended(Kind::BadRequest.code());
+        self.lifecycle.set_outcome(Kind::BadRequest.code());
         let body = response.body().await.unwrap_or_default();
         let said = serde_json::from_slice::<Value>(&body).unwrap_or(json!(null));
         let reason = said.pointer("/error/message").and_then(Value::as_str);
@@ -193,100 +199,103 @@
         Err(Error::new(Kind::BadRequest, message))
     }
 
-    fn note(&mut self, running: &mut Running, tokens: u32) {
+    fn record_tokens(&mut self, active: &mut ActiveAttempt, tokens: u32) {
         if tokens == 0 {
             return;
         }
         let now = clock::now();
-        self.flow.produced = self.scanner.delivered();
-        if running.first_token.is_none() {
-            let first = now - running.handed;
-            running.first_token = Some(first);
-            running.reported = now;
-            running.reported_tokens = self.flow.produced;
-            self.flow.report(Some(first), 0);
-            if self.flow.attempts == 1 {
-                let seconds = self.flow.age() as f64 / 1e6;
-                self.flow.shared.telemetry.record_first_token(&self.flow.head.class, seconds);
+        self.lifecycle.produced = self.scanner.delivered();
+        if active.first_token.is_none() {
+            let first = now - active.sent_at;
+            active.first_token = Some(first);
+            active.reported_at = now;
+            active.reported_tokens = self.lifecycle.produced;
+            self.lifecycle.report_progress(Some(first), 0);
+            if self.lifecycle.attempts == 1 {
+                let seconds = self.lifecycle.age() as f64 / 1e6;
+                self.lifecycle
+                    .shared
+                    .telemetry
+                    .record_first_token(&self.lifecycle.head.class, seconds);
             }
             return;
         }
-        if now - running.reported >= REPORT_EVERY {
-            self.report_gap(running, now);
+        if now - active.reported_at >= REPORT_INTERVAL {
+            self.report_gap(active, now);
         }
     }
 
-    /// Reports the mean time between the tokens since the last report.
-    fn report_gap(&mut self, running: &mut Running, now: u64) {
-        let new = u64::from(self.flow.produced - running.reported_tokens);
+    /// Reports the mean gap between the tokens since the last report.
+    fn report_gap(&mut self, active: &mut ActiveAttempt, now: u64) {
+        let new = u64::from(self.lifecycle.produced - active.reported_tokens);
         if new == 0 {
             return;
         }
-        let gap = (now - running.reported) / new;
-        running.reported = now;
-        running.reported_tokens = self.flow.produced;
-        self.flow.report(None, gap);
+        let gap = (now - active.reported_at) / new;
+        active.reported_at = now;
+        active.reported_tokens = self.lifecycle.produced;
+        self.lifecycle.report_progress(None, gap);
     }
 
-    /// The answer is whole.
-    async fn finish(&mut self, mut running: Running) {
+    /// Ends the request after a complete response.
+    async fn finish(&mut self, mut active: ActiveAttempt) {
         self.ended = true;
-        self.report_gap(&mut running, clock::now());
-        self.flow.end(Outcome::Done);
-        self.flow.ended(DONE);
-        running.span.note("drumusher.tokens", i64::from(self.flow.produced));
-        running.span.end();
-        self.flow.span.note("drumusher.attempts", i64::from(self.flow.attempts));
-        let tokens = u64::from(self.flow.produced);
-        self.flow.shared.telemetry.count_request(&self.flow.head.class, "done", tokens);
-        // Read to the end, so that the connection can be used again.
-        while let Ok(Some(_)) = attempt::piece(&mut running.payload, DRAIN_MS).await {}
+        self.report_gap(&mut active, clock::now());
+        self.lifecycle.finish_attempt(Outcome::Done);
+        self.lifecycle.set_outcome(DONE);
+        active.span.set_attribute("drumusher.tokens", i64::from(self.lifecycle.produced));
+        active.span.end();
+        self.lifecycle.span.set_attribute("drumusher.attempts", i64::from(self.lifecycle.attempts));
+        let tokens = u64::from(self.lifecycle.produced);
+        self.lifecycle.shared.telemetry.count_request(&self.lifecycle.head.class, "done", tokens);
+        // Reads the body to its end, so that the connection can be reused.
+        while let Ok(Some(_)) = attempt::next_chunk(&mut active.payload, DRAIN_MS).await {}
     }
 
-    fn preempted(&mut self, running: Running) {
+    fn preempt(&mut self, active: ActiveAttempt) {
         if self.scanner.finished() {
-            self.running = Some(running);
+            self.active = Some(active);
             return;
         }
-        self.stop(&running.span);
+        self.stop_attempt(&active.span);
     }
 
-    /// Stops the attempt by order of the dispatcher. Dropping the stream cancels it at the engine.
-    fn stop(&mut self, span: &Span) {
+    /// Stops the attempt on a preemption by the dispatcher. Dropping the payload cancels it at the engine.
+    fn stop_attempt(&mut self, span: &Span) {
         span.fail("preempted");
         span.end();
         self.scanner.restart();
-        self.flow.end(Outcome::Preempted);
-        self.flow.count_preemption();
+        self.lifecycle.finish_attempt(Outcome::Preempted);
+        self.lifecycle.count_preemption();
     }
 
-    fn broke(&mut self, running: Running, error: attempt::Error) -> Result<(), Error> {
-        let Running { backend, span, payload, .. } = running;
+    fn handle_break(&mut self, active: ActiveAttempt, error: attempt::Error) -> Result<(), Error> {
+        let ActiveAttempt { backend, span, payload, .. } = active;
         drop(payload);
-        self.failed(&backend, &span, error)
+        self.handle_failure(&backend, &span, error)
     }
 
-    /// An attempt failed: there may be another one, else the caller is told at once.
-    fn failed(
+    /// Handles a failed attempt: either it may be retried, or the error is returned to the client at once.
+    fn handle_failure(
         &mut self,
         backend: &Backend,
         span: &Span,
         error: attempt::Error,
     ) -> Result<(), Error> {
-        span.fail(error.words());
+        span.fail(error.as_str());
         span.end();
         self.scanner.restart();
         let outcome = match error {
             attempt::Error::Full => Outcome::Full,
             _ => Outcome::Failed,
         };
-        self.flow.end(outcome);
-        self.flow.log_failure(&backend.name, error.words());
+        self.lifecycle.finish_attempt(outcome);
+        self.lifecycle.log_failure(&backend.name, error.as_str());
         if self.scanner.finished() {
             self.ended = true;
             return Ok(());
         }
-        if self.flow.may_retry(&backend.name, error.surely_not_run()) {
+        if self.lifecycle.may_retry(&backend.name, error.not_run()) {
             return Ok(());
         }
         self.ended = true;
@@ -294,27 +303,27 @@
     }
 
     fn final_error(&mut self, error: attempt::Error) -> Error {
-        let class = self.flow.head.class.clone();
-        self.flow.shared.telemetry.count_request(&class, "failed", 0);
-        if error.surely_not_run() && self.flow.produced == 0 && self.flow.attempts <= 1 {
+        let class = self.lifecycle.head.class.clone();
+        self.lifecycle.shared.telemetry.count_request(&class, "failed", 0);
+        if error.not_run() && self.lifecycle.produced == 0 && self.lifecycle.attempts <= 1 {
             if let Some(claim) = &mut self.claim {
-                claim.not_handed_over();
+                claim.mark_not_sent();
             }
-            let message = "no backend server took the request";
-            return self.flow.refused(Kind::NoServer, message, 1_000).with_ran(Ran::No);
+            let message = "no backend server accepted the request";
+            return self.lifecycle.refusal_error(Kind::NoServer, message, 1_000).with_ran(Ran::No);
         }
-        let kind = if self.flow.produced > 0 { Kind::Incomplete } else { Kind::BackendFailed };
-        self.flow.ended(kind.code());
+        let kind = if self.lifecycle.produced > 0 { Kind::Incomplete } else { Kind::BackendFailed };
+        self.lifecycle.set_outcome(kind.code());
         if kind == Kind::Incomplete {
-            return Error::new(kind, "the answer is not whole: backend servers failed");
+            return Error::new(kind, "the response is incomplete: backend servers failed");
         }
         Error::new(kind, "the backend server failed")
     }
 
-    /// Keeps the answer for repeats with the same idempotency key.
-    pub fn keep(&mut self, status: u16, content_type: &str, body: Option<&[u8]>) {
+    /// Stores the response for repeated requests with the same idempotency key.
+    pub fn store_response(&mut self, status: u16, content_type: &str, body: Option<&[u8]>) {
         if let Some(claim) = self.claim.take() {
-            claim.done(status, content_type, body);
+            claim.complete(status, content_type, body);
         }
     }
 }
--- a/crates/drumusher/src/request/trace.rs
+++ b/crates/drumusher/src/request/trace.rs
@@ -1,4 +1,4 @@
-//! Spans of one request, and the `traceparent` header in and out.
+//! Tracing spans of a request, and propagation of the `traceparent` header.
 
 use ntex::http::HeaderMap;
 use opentelemetry::{
@@ -8,7 +8,7 @@
 };
 use opentelemetry_sdk::{propagation::TraceContextPropagator, trace::SdkTracer};
 
-/// The header that carries a trace.
+/// Header that carries the trace context (W3C).
 pub const TRACEPARENT: &str = "traceparent";
 
 struct Headers<'a>(&'a HeaderMap);
@@ -23,21 +23,21 @@
     }
 }
 
-/// A span that ends when it is dropped.
+/// A tracing span that ends when it is dropped.
 #[derive(Clone, Debug)]
 pub struct Span {
     context: Context,
 }
 
 impl Span {
-    /// The span of a request at its entry, a child of the caller's if the headers name one.
-    pub fn entry(tracer: &SdkTracer, headers: &HeaderMap) -> Span {
+    /// Starts the server span of a request, as a child of the client's span if the headers name one.
+    pub fn server(tracer: &SdkTracer, headers: &HeaderMap) -> Span {
         let parent =
             TraceContextPropagator::new().extract_with_context(&Context::new(), &Headers(headers));
         Span::start(tracer, "request", SpanKind::Server, &parent)
     }
 
-    /// A span below this one.
+    /// Starts a child span of this one.
     pub fn child(&self, tracer: &SdkTracer, name: &'static str) -> Span {
         Span::start(tracer, name, SpanKind::Client, &self.context)
     }
@@ -48,30 +48,30 @@
         Span { context: parent.with_span(span) }
     }
 
-    /// Notes something about the hop.
-    pub fn note(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
+    /// Sets an attribute of the span.
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<opentelemetry::Value>) {
         let span = self.context.span();
         if span.is_recording() {
             span.set_attribute(KeyValue::new(key, value.into()));
         }
     }
 
-    /// Marks the hop as failed.
+    /// Marks the span as failed.
     pub fn fail(&self, reason: &'static str) {
         self.context.span().set_status(Status::error(reason));
     }
 
-    /// Ends the span now.
+    /// Ends the span.
     pub fn end(&self) {
         self.context.span().end();
     }
 
-    /// The trace it belongs to, in hexadecimal.
+    /// Returns the trace ID in hexadecimal.
     pub fn trace(&self) -> String {
         self.context.span().span_context().trace_id().to_string()
     }
 
-    /// The header that makes the next hop's span a child of this one.
+    /// Returns the `traceparent` header that makes the next hop's span a child of this one.
     pub fn traceparent(&self) -> String {
         let span = self.context.span();
         let context = span.span_context();
