--- a/crates/drumusher/src/error.rs
+++ b/crates/drumusher/src/error.rs
@@ -1,22 +1,22 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! All kinds of errors that clients receive, and the mapping from kind to response.
 
 use ntex::{http::StatusCode, web::HttpResponse};
 use serde_json::json;
 
-/// Whether a request ran, as far as it can be proved.
+/// Whether a request ran, as far as is known for certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ran {
-    /// Nothing was handed to a backend server.
+    /// It did not run.
     No,
-    /// It ran to its end.
+    /// It ran to completion.
     Yes,
     /// It may have run.
     Unknown,
 }
 
 impl Ran {
-    /// Its word in answers.
-    pub fn word(self) -> &'static str {
+    /// Value in responses.
+    pub fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
             Ran::Yes => "yes",
@@ -25,60 +25,60 @@
     }
 }
 
-/// Every kind of error that a caller can get.
+/// Kinds of errors that clients receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The body or a header cannot be understood.
+    /// The body or a header is invalid.
     BadRequest,
-    /// No key, or a wrong one.
+    /// The API key is missing or invalid.
     Unauthorized,
-    /// No such path.
+    /// The path is unknown.
     UnknownPath,
-    /// No backend server of any availability zone serves the model.
+    /// No backend server in any availability zone serves the model.
     UnknownModel,
-    /// No such class.
+    /// The traffic class is unknown.
     UnknownClass,
-    /// No such service.
+    /// The service is unknown.
     UnknownService,
-    /// The body is too long.
+    /// The request body exceeds the size limit.
     TooLarge,
-    /// The head is too long.
+    /// The request head exceeds the size limit.
     HeadTooLarge,
-    /// The workspace is at its own limit.
+    /// The workspace has reached its limit.
     WorkspaceLimit,
-    /// The queue is full and this request was the one to go.
+    /// The queue is full and this request was evicted or rejected.
     QueueFull,
     /// The request would wait, or has waited, longer than its class allows.
     WaitBound,
-    /// No backend server of the pool can be used.
+    /// No backend server of the pool is usable.
     NoServer,
-    /// The instance holds as many requests as it may.
+    /// The instance has reached its limit of requests in flight.
     Overloaded,
-    /// The instance has no configuration yet.
+    /// The instance has no configuration yet, or is stopping.
     NotReady,
-    /// The platform's log, without which the request may not run, cannot be reached.
+    /// The platform's log, which the request depends on, is unavailable.
     LogUnavailable,
     /// A request with this idempotency key is running.
     Running,
     /// The idempotency key was used for another request.
     KeyReused,
-    /// A request with this idempotency key began, and how it ended is not known.
+    /// A request with this idempotency key was started, and its outcome is unknown.
     OutcomeUnknown,
-    /// A request with this idempotency key ran; its answer is no longer kept.
+    /// A request with this idempotency key ran; its response is no longer stored.
     AlreadyRan,
     /// The backend server failed after the request may have reached it.
     BackendFailed,
-    /// The backend servers failed and the answer is not whole.
+    /// The backend servers failed and the response is incomplete.
     Incomplete,
-    /// Backend servers ended each time they ran it, and it is not run again.
+    /// Backend servers crashed each time they ran the request, so it is not run again.
     Quarantined,
-    /// The time that the caller or the route allows ran out while a backend server worked on it.
+    /// The deadline of the client or route expired while a backend server worked on the request.
     TimedOut,
-    /// A fault of drumusher itself.
+    /// An internal error.
     Internal,
 }
 
-/// A row of the table: status, code and the default of `ran`.
+/// Table row: status, code and default of `ran`.
 struct Row(u16, &'static str, Ran);
 
 impl Kind {
@@ -111,37 +111,37 @@
         }
     }
 
-    /// Its word in answers, logs and metrics.
+    /// Returns the code used in responses, logs and metrics.
     pub fn code(self) -> &'static str {
         self.row().1
     }
 
-    /// The HTTP status of its answer.
+    /// Returns the HTTP status code.
     pub fn status(self) -> u16 {
         self.row().0
     }
 }
 
-/// An error on its way to the caller.
+/// An error response to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Error {
-    /// What kind it is.
+    /// Kind of error.
     pub kind: Kind,
-    /// A sentence for the caller. Names nothing of other workspaces.
+    /// Message for the client. Discloses nothing about other workspaces.
     pub message: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// A signed token that keeps the place of a refused request.
+    /// Signed arrival time, with which the client keeps its position in the queue when it retries.
     pub arrival_token: Option<String>,
 }
 
-/// The header that carries a place token in both directions.
+/// Header that carries an arrival token in both directions.
 pub const ARRIVAL_TOKEN_HEADER: &str = "Drumusher-Place";
 
 impl Error {
-    /// An error of `kind` with a sentence for the caller.
+    /// Creates an error of `kind` with a message for the client.
     pub fn new(kind: Kind, message: impl Into<String>) -> Self {
         Error {
             kind,
@@ -152,36 +152,36 @@
         }
     }
 
-    /// Says when to come back.
+    /// Sets the time after which to retry.
     pub fn with_retry_after(mut self, milliseconds: u64) -> Self {
         self.retry_after_ms = Some(milliseconds);
         self
     }
 
-    /// Says whether the request ran, where that differs from the kind's default.
+    /// Sets whether the request ran, if that differs from the kind's default.
     pub fn with_ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
     }
 
-    /// Adds a place token.
+    /// Adds an arrival token.
     pub fn with_arrival_token(mut self, arrival_token: String) -> Self {
         self.arrival_token = Some(arrival_token);
         self
     }
 
-    /// The JSON object of the answer, in the shape that callers of such services expect.
+    /// Returns the JSON body, in the format that clients of such APIs expect.
     pub fn object(&self) -> serde_json::Value {
         json!({"error": {
             "message": self.message,
             "type": if self.kind.status() < 500 { "invalid_request_error" } else { "server_error" },
             "code": self.kind.code(),
-            "ran": self.ran.word(),
+            "ran": self.ran.as_str(),
             "retry_after_ms": self.retry_after_ms,
         }})
     }
 
-    /// The whole answer.
+    /// Builds the HTTP response.
     pub fn response(&self) -> HttpResponse {
         let status = StatusCode::from_u16(self.kind.status()).expect("the table has valid codes");
         let mut builder = HttpResponse::build(status);
--- a/crates/drumusher/src/explain.rs
+++ b/crates/drumusher/src/explain.rs
@@ -1,49 +1,49 @@
-//! What log lines tell of one request, for engineers who look for a cause afterwards.
+//! Explains the outcome of one request from log lines, for engineers who investigate a failure.
 //!
-//! Lines of any number of instances are read from files or standard input. Those that name the
-//! request are put in order of time; the last one gives the outcome, and the attempts before it the
-//! cause. Lines that are not of drumusher are passed over and counted.
+//! Lines of any number of instances are read from files or standard input. The lines that name the request are sorted
+//! by time; the last one gives the outcome, and the attempts before it show the cause. Lines that are not drumusher
+//! log lines are skipped and counted.
 
 use std::fmt::{self, Write};
 
 use serde_json::{Map, Value};
 
-/// One log line that names the request.
+/// A log line that names the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// When, as it is written.
+    /// Timestamp, as logged.
     pub time: String,
-    /// What happened.
+    /// Message.
     pub message: String,
-    /// The inputs, in the order of their names.
+    /// Attributes, sorted by name.
     pub facts: Vec<(String, String)>,
 }
 
-/// Why a request ended as it did.
+/// Cause of a request's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// It got its answer.
+    /// The response was delivered.
     Delivered,
-    /// A backend server's own failure was delivered.
+    /// An error response of a backend server was delivered.
     FailureDelivered,
-    /// Turned away before it was handed over; the status says why.
+    /// Rejected before it was sent to a backend server; the status tells why.
     TurnedAway,
-    /// No backend server had room or could be reached.
+    /// No backend server had capacity or was reachable.
     NotRun,
-    /// A backend server failed after it may have run.
+    /// A backend server failed; the request may have run.
     BackendFailed,
-    /// The time that the caller or the route allows ran out.
+    /// The deadline of the client or route expired.
     TimedOut,
-    /// A stream broke off after it began.
+    /// A stream was cut off after it began.
     BrokenOff,
-    /// The caller left before there was an answer.
+    /// The client disconnected before the response was complete.
     CallerGone,
-    /// The lines do not tell: the instance ended.
+    /// The log lines do not show the end, for example because the instance crashed.
     Unknown,
 }
 
 impl Step {
-    /// A line, if it names a request.
+    /// Converts a log line, if it names a request.
     pub fn new(line: &Map<String, Value>) -> Option<Step> {
         let attributes = line.get("attributes")?.as_object()?;
         attributes.get("request")?;
@@ -58,15 +58,15 @@
         })
     }
 
-    /// The value of an input.
+    /// Returns the value of an attribute.
     pub fn fact(&self, name: &str) -> Option<&str> {
         self.facts.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 }
 
 impl Cause {
-    /// A word or two for tables.
-    pub fn word(self) -> &'static str {
+    /// Label used in tables.
+    pub fn as_str(self) -> &'static str {
         match self {
             Cause::Delivered => "delivered",
             Cause::FailureDelivered => "failures delivered",
@@ -80,8 +80,8 @@
         }
     }
 
-    /// The cause by the last of some lines, in order of time, that tells an end.
-    pub fn of(steps: &[Step]) -> Cause {
+    /// Determines the cause from the last of the steps, in order of time, that logs an end.
+    pub fn from_steps(steps: &[Step]) -> Cause {
         let end = steps.iter().rev().find_map(|step| {
             let ended = step.message.strip_prefix("request ended: ");
             let away = || step.message.strip_prefix("request turned away: ").map(|_| "turned away");
@@ -101,54 +101,54 @@
         }
     }
 
-    /// A sentence for people.
-    pub fn sentence(self) -> &'static str {
+    /// Describes the cause in a sentence.
+    pub fn describe(self) -> &'static str {
         match self {
-            Cause::Delivered => "it got its answer",
-            Cause::FailureDelivered => {
-                "a backend server ran it and answered with a failure of its own"
-            }
+            Cause::Delivered => "the response was delivered",
+            Cause::FailureDelivered => "a backend server ran it and responded with an error",
             Cause::TurnedAway => "it was turned away before anything ran",
-            Cause::NotRun => "no backend server took it; it did not run",
+            Cause::NotRun => "no backend server accepted it; it did not run",
             Cause::BackendFailed => "a backend server failed; it may have run",
             Cause::TimedOut => "its time ran out while a backend server had it",
-            Cause::BrokenOff => "its stream broke off after it began",
-            Cause::CallerGone => "the caller left before there was an answer",
-            Cause::Unknown => "no line tells its end: the instance ended, or its lines are missing",
+            Cause::BrokenOff => "its stream was cut off after it began",
+            Cause::CallerGone => "the client disconnected before the response was complete",
+            Cause::Unknown => {
+                "no log line shows its end: the instance crashed, or log lines are missing"
+            }
         }
     }
 }
 
-/// What the lines tell of one request.
+/// The log lines of one request, and the cause of its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// The request.
+    /// Request ID.
     pub id: String,
-    /// Its steps in order of time.
+    /// Steps, sorted by time.
     pub steps: Vec<Step>,
-    /// Why it ended as it did.
+    /// Cause of the outcome.
     pub cause: Cause,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub unread: usize,
 }
 
 impl Explanation {
-    /// Reads the story of request `id` from log lines.
+    /// Collects the steps of request `id` from log lines.
     pub fn new<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Explanation {
         let mut explanation =
             Explanation { id: id.into(), steps: Vec::new(), cause: Cause::Unknown, unread: 0 };
         for line in lines.filter(|line| !line.trim().is_empty()) {
             match serde_json::from_str::<Map<String, Value>>(line) {
-                Ok(line) => explanation.steps.extend(step(id, &line)),
+                Ok(line) => explanation.steps.extend(matching_step(id, &line)),
                 Err(_) => explanation.unread += 1,
             }
         }
         explanation.steps.sort_by(|a, b| a.time.cmp(&b.time));
-        explanation.cause = Cause::of(&explanation.steps);
+        explanation.cause = Cause::from_steps(&explanation.steps);
         explanation
     }
 
-    /// The same as JSON.
+    /// Converts it to JSON.
     pub fn to_json(&self) -> Value {
         let steps = self.steps.iter().map(|step| {
             let facts = step.facts.iter().map(|(name, value)| (name.clone(), value.clone().into()));
@@ -160,7 +160,7 @@
         });
         serde_json::json!({
             "request": self.id,
-            "cause": self.cause.sentence(),
+            "cause": self.cause.describe(),
             "steps": steps.collect::<Vec<Value>>(),
             "unread": self.unread,
         })
@@ -179,12 +179,12 @@
         if self.unread > 0 {
             writeln!(f, "({} lines could not be read)", self.unread)?;
         }
-        writeln!(f, "request {}: {}", self.id, self.cause.sentence())
+        writeln!(f, "request {}: {}", self.id, self.cause.describe())
     }
 }
 
-/// A line as a step, if it names the request.
-fn step(id: &str, line: &Map<String, Value>) -> Option<Step> {
-    let named = line.get("attributes")?.get("request").and_then(Value::as_str);
-    if named == Some(id) { Step::new(line) } else { None }
+/// Converts a log line to a step, if it names request `id`.
+fn matching_step(id: &str, line: &Map<String, Value>) -> Option<Step> {
+    let request = line.get("attributes")?.get("request").and_then(Value::as_str);
+    if request == Some(id) { Step::new(line) } else { None }
 }
--- a/crates/drumusher/src/lib.rs
+++ b/crates/drumusher/src/lib.rs
@@ -1,13 +1,12 @@
 //! Drumusher: a router of language-model traffic with service levels and priorities.
 //!
-//! This crate is the one shipped binary, split by life span: [`process`] holds what lives as long
-//! as the process, [`version`] what is immutable between two changes of configuration or
-//! membership, [`connection`] what lives as long as a connection to another instance, [`request`]
-//! what lives as long as one caller's request. Where the platform keeps the configuration in a
-//! store, [`routed`] takes the place of [`request`]: it passes requests through along routes, over
-//! the connections of [`upstream`]. [`operator`] answers the operators' language, [`settings`] and
-//! [`options`] read what an instance is started with, [`error`] is the closed list of errors that
-//! callers see, and [`explain`] tells from log lines why a request ended as it did.
+//! This crate is the shipped binary. Its modules are split by lifetime: [`process`] holds what lives as long as the
+//! process, [`version`] immutable snapshots of configuration and membership, [`connection`] the connections between
+//! instances, and [`request`] the state of one client request. If the platform keeps the configuration in a store,
+//! [`routed`] takes the place of [`request`]: it is a reverse proxy that forwards requests along routes over the
+//! connections of [`upstream`]. [`operator`] executes the operators' query language, [`settings`] and [`options`] read
+//! the settings file and the command line, [`error`] lists the errors that clients receive, and [`explain`] and
+//! [`summary`] determine from log lines how requests ended.
 
 pub mod connection;
 pub mod error;
--- a/crates/drumusher/src/main.rs
+++ b/crates/drumusher/src/main.rs
@@ -1,4 +1,4 @@
-//! The `drumusher` program.
+//! The `drumusher` command-line program.
 
 use std::{
     env, fs,
@@ -14,8 +14,8 @@
     summary::Summary,
 };
 
-/// Exit code for wrong options or settings.
-const WRONG_USE: u8 = 2;
+/// Exit code for invalid options or settings.
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = env::args().skip(1).collect();
@@ -35,7 +35,7 @@
         Ok(Command::Ask { statement, address, key }) => ask(&statement, &address, &key),
         Err(message) => {
             eprintln!("{message}");
-            ExitCode::from(WRONG_USE)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
@@ -43,21 +43,21 @@
 fn load(file: &str) -> Result<Settings, ExitCode> {
     let text = fs::read_to_string(file).map_err(|error| {
         eprintln!("{file}: {error}");
-        ExitCode::from(WRONG_USE)
+        ExitCode::from(EXIT_USAGE)
     })?;
     let parsed = settings::parse(&text).map(|settings| settings.with_source(file));
-    parsed.map_err(|faults| {
-        for fault in faults {
-            eprintln!("{file}: {fault}");
+    parsed.map_err(|errors| {
+        for error in errors {
+            eprintln!("{file}: {error}");
         }
-        ExitCode::from(WRONG_USE)
+        ExitCode::from(EXIT_USAGE)
     })
 }
 
 fn check(file: &str) -> ExitCode {
     match load(file) {
         Ok(_) => {
-            println!("{file}: no fault");
+            println!("{file}: no errors");
             ExitCode::SUCCESS
         }
         Err(code) => code,
@@ -98,7 +98,7 @@
     code
 }
 
-/// The log lines in some files, or on standard input if there are none.
+/// Reads log lines from files, or from standard input if none are given.
 fn log_lines(files: &[String]) -> Result<String, ExitCode> {
     let mut text = String::new();
     let read = if files.is_empty() {
@@ -112,13 +112,13 @@
     };
     read.map_err(|error| {
         eprintln!("the log lines cannot be read: {error}");
-        ExitCode::from(WRONG_USE)
+        ExitCode::from(EXIT_USAGE)
     })?;
     Ok(text)
 }
 
-/// Prints to standard output. Whoever reads it may close it early, which is no error.
-fn tell(text: &str) {
+/// Prints to standard output. The reader may close it early, which is not an error.
+fn print_stdout(text: &str) {
     if let Err(error) = io::stdout().write_all(text.as_bytes())
         && error.kind() != io::ErrorKind::BrokenPipe
     {
@@ -129,7 +129,7 @@
 fn summary(files: &[String]) -> ExitCode {
     match log_lines(files) {
         Ok(text) => {
-            tell(&Summary::new(text.lines()).to_string());
+            print_stdout(&Summary::new(text.lines()).to_string());
             ExitCode::SUCCESS
         }
         Err(code) => code,
@@ -143,9 +143,9 @@
     };
     let explanation = Explanation::new(id, text.lines());
     if json {
-        tell(&format!("{}\n", explanation.to_json()));
+        print_stdout(&format!("{}\n", explanation.to_json()));
     } else {
-        tell(&explanation.to_string());
+        print_stdout(&explanation.to_string());
     }
     if explanation.steps.is_empty() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
--- a/crates/drumusher/src/options.rs
+++ b/crates/drumusher/src/options.rs
@@ -1,48 +1,48 @@
-//! The command line.
+//! Command-line options.
 
 use getopts::Options;
 
-/// What the user asked for.
+/// A command given by the user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print how to use the program.
+    /// Print the usage.
     Help(String),
     /// Print the version.
     Version,
-    /// Run an instance with the settings in a file.
+    /// Run an instance with a settings file.
     Serve(String),
-    /// Check the settings in a file.
+    /// Validate a settings file.
     Check(String),
-    /// Tell what log lines say of a request.
+    /// Explain the outcome of a request from log lines.
     Explain {
-        /// The request.
+        /// Request ID.
         id: String,
-        /// Files with log lines; standard input if there are none.
+        /// Log files; standard input if empty.
         files: Vec<String>,
-        /// Whether to answer in JSON.
+        /// Whether to print JSON.
         json: bool,
     },
-    /// Tell what log lines say of all requests.
+    /// Summarise the outcomes of all requests from log lines.
     Summary(Vec<String>),
-    /// Send one statement to an instance.
+    /// Send a statement to an instance.
     Ask {
-        /// The statement.
+        /// Statement.
         statement: String,
         /// `ip:port` of an instance.
         address: String,
-        /// The operator key.
+        /// Operator key.
         key: String,
     },
 }
 
-/// Where `serve` and `check` find the settings file when no option names it.
+/// Environment variable with the settings file of `serve` and `check`, if no option names it.
 pub const SETTINGS_VARIABLE: &str = "DRUMUSHER_SETTINGS";
-/// Where `ask` finds the operator key when no option gives it.
+/// Environment variable with the operator key of `ask`, if no option gives it.
 pub const KEY_VARIABLE: &str = "DRUMUSHER_OPERATOR_KEY";
-/// Where `ask` finds the instance when no option gives it.
+/// Environment variable with the instance address of `ask`, if no option gives it.
 pub const ADDRESS_VARIABLE: &str = "DRUMUSHER_ADDRESS";
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 Usage:
     drumusher serve [--config FILE]
     drumusher check [--config FILE]
@@ -53,19 +53,19 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("c", "config", "settings file, TOML (default: $DRUMUSHER_SETTINGS)", "FILE");
-    options.optopt("a", "address", "instance to ask (default: $DRUMUSHER_ADDRESS)", "IP:PORT");
+    options.optopt("a", "address", "instance address (default: $DRUMUSHER_ADDRESS)", "IP:PORT");
     options.optopt("k", "key", "operator key (default: $DRUMUSHER_OPERATOR_KEY)", "KEY");
-    options.optflag("j", "json", "explain: answer in JSON");
+    options.optflag("j", "json", "explain: print JSON");
     options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
 }
 
-/// Reads the command line, without the program's name.
+/// Parses the command-line arguments, without the program name.
 ///
 /// # Errors
 ///
-/// A sentence for the user.
+/// An error message for the user.
 pub fn parse(
     arguments: &[String],
     variable: impl Fn(&str) -> Option<String>,
@@ -73,7 +73,7 @@
     let options = options();
     let matches = options.parse(arguments).map_err(|e| e.to_string())?;
     if matches.opt_present("help") {
-        return Ok(Command::Help(options.usage(BRIEF)));
+        return Ok(Command::Help(options.usage(USAGE)));
     }
     if matches.opt_present("version") {
         return Ok(Command::Version);
@@ -103,6 +103,6 @@
                 key: key.ok_or("--key KEY is missing")?,
             })
         }
-        _ => Err(options.usage(BRIEF)),
+        _ => Err(options.usage(USAGE)),
     }
 }
--- a/crates/drumusher/src/settings.rs
+++ b/crates/drumusher/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of one instance: TOML, checked as a whole.
+//! Settings of an instance, read from a TOML file and validated as a whole.
 //!
-//! Every fault is reported at once with its key and the reason. `settings.example.toml` documents
-//! each key with its default.
+//! All errors are reported together, each with its key and reason. `settings.example.toml` documents every key and its
+//! default.
 
 mod reader;
 
@@ -11,98 +11,96 @@
 
 use self::reader::Reader;
 
-/// Processor times that an instance can have, in thousandths of a core.
+/// Valid CPU capacities of an instance, in thousandths of a core.
 pub const CAPACITIES: RangeInclusive<u32> = 1..=1_024_000;
 
-/// Whether a text can name an instance or an availability zone: letters, digits, '-', '_' and '.'.
+/// Returns whether a text is a valid name of an instance or availability zone: letters, digits, '-', '_' and '.'.
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     !text.is_empty() && text.bytes().all(allowed)
 }
 
-/// A fault in the settings.
+/// An error in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The dotted key.
+pub struct Error {
+    /// Dotted key.
     pub key: String,
-    /// What is wrong with it.
+    /// Reason why its value is invalid.
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.key, self.reason)
     }
 }
 
-/// The settings of one instance.
+/// Settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The file they were read from.
+    /// File that the settings were read from.
     pub source: String,
-    /// Its name, the same as in the platform's list.
+    /// Name of the instance, the same as in the platform's member list.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub availability_zone: String,
-    /// The area whose instances and backend servers form one pool; the availability zone unless
-    /// set.
+    /// Area, whose instances and backend servers form one pool. Defaults to the availability zone.
     pub area: String,
-    /// Where the balancer asks whether it is ready, if not at `http`.
+    /// Address for the load balancer's health checks, if not `http`.
     pub status: Option<SocketAddr>,
-    /// Where its metrics are read, if not at `http`.
+    /// Address that serves metrics, if not `http`.
     pub metrics: Option<SocketAddr>,
-    /// The platform's store; with it there is no log service and no list of instances.
+    /// The platform's store. If set, neither the log service nor the member list is used.
     pub store: Option<Store>,
-    /// What one instance at a time does for the platform, if there is such.
+    /// Duties that one instance at a time performs for the platform, if any.
     pub duties: Option<Duties>,
-    /// Bound on the repeats that all instances send a service.
+    /// Fleet-wide retry budget of each service.
     pub repeats: Repeats,
-    /// Longest time from the order to stop until the end, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_longest_ms: u64,
-    /// Where callers and operators reach it.
+    /// Address for clients and operators.
     pub http: SocketAddr,
-    /// Where it listens for other instances.
+    /// Listening address for other instances.
     pub peer: SocketAddr,
-    /// The address that other instances are told; `peer` unless set, for instances that are reached
-    /// through a forwarder.
+    /// Address announced to other instances. Defaults to `peer`; differs for instances behind a forwarder.
     pub advertise: SocketAddr,
-    /// Its processor time in thousandths of a core: roles are rather given to instances with more.
+    /// CPU capacity in thousandths of a core. Roles are assigned preferably to instances with more.
     pub capacity: u32,
-    /// Threads that serve HTTP.
+    /// Number of HTTP worker threads.
     pub workers: usize,
-    /// Known to all instances, at least 16 characters.
+    /// Secret shared by all instances, of at least 16 characters.
     pub fleet_secret: String,
-    /// With a store: an instance that was out of reach for so long, in milliseconds, is taken off the
-    /// table of instances. It enters itself again when it is back.
+    /// With a store: an instance that has been unreachable for this long, in milliseconds, is removed from the table
+    /// of instances. It registers again when it is back.
     pub forget_ms: u64,
-    /// Instances to ask for the configuration when the platform is away.
+    /// Instances to fetch the configuration from when the platform is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's log service.
+    /// Address of the platform's log service.
     pub log_service: SocketAddr,
-    /// The platform's list of instances.
+    /// Address of the platform's member list.
     pub members: SocketAddr,
-    /// SHA-256 of operator keys in hexadecimal, by operator name.
+    /// SHA-256 digests of operator keys in hexadecimal, by operator name.
     pub operators: BTreeMap<String, String>,
-    /// Bounds on callers.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// Dealing with backend servers.
+    /// Timeouts and retries for backend servers.
     pub backend: Backend,
-    /// The mechanisms by which this instance decides as a dispatcher.
+    /// Scheduling mechanisms that this instance uses as a dispatcher.
     pub decisions: Switches,
-    /// The platform's budgets and intervals.
+    /// Quotas and intervals of the platform.
     pub platform: Platform,
-    /// How long after the start a request waits for the configuration, in milliseconds. Until then the
-    /// balancer sends requests here only if it has no better place, and a caller that is refused may ask
-    /// once more, most likely at an instance that starts too.
+    /// Time after the start during which requests wait for the configuration, in milliseconds. During that time, the
+    /// load balancer sends requests here only if no other instance is available, and a refused client may retry only
+    /// once, most likely at another starting instance.
     pub start_wait_ms: u64,
-    /// How long to go on accepting after a stop was asked for, in milliseconds.
+    /// Time during which requests are still accepted after a stop was requested, in milliseconds.
     pub stop_accept_ms: u64,
-    /// What is told to the outside about itself.
+    /// Logging, metrics and tracing.
     pub telemetry: Telemetry,
 }
 
 impl Settings {
-    /// Names the file they were read from.
+    /// Sets the file that the settings were read from.
     pub fn with_source(mut self, source: &str) -> Self {
         self.source = source.into();
         self
@@ -112,122 +110,122 @@
 /// The platform's store of configuration and backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
-    /// Where it is.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Longest time to wait for a change in one call, in milliseconds.
+    /// Maximum time that one call waits for a change, in milliseconds.
     pub wait_ms: u64,
-    /// The first call is made at a random moment of this time after the start, in milliseconds. Where all
-    /// instances start at once and none is listed yet, the first ones then enter the others.
+    /// The first call is made at a random time within this many milliseconds after the start. If all instances start
+    /// together and none is registered yet, the first ones then register the others.
     pub spread_ms: u64,
 }
 
-/// What one instance at a time does for the platform.
+/// Duties that one instance at a time performs for the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Duties {
-    /// Where the platform takes the calls.
+    /// Address of the platform's duty API.
     pub address: SocketAddr,
-    /// Whether the usage of workspaces is reported.
+    /// Whether to report the usage of workspaces.
     pub usage_report: bool,
-    /// Whether backend servers are ordered.
+    /// Whether to order backend servers (autoscaling).
     pub autoscale: bool,
-    /// Length of the lease, and least time between two spells of one instance with another's between them, in
-    /// milliseconds.
+    /// Duration of the lease, in milliseconds. It is also the minimum time between two terms of an instance when
+    /// another instance held the lease in between.
     pub lease_ms: u64,
-    /// Whether the platform compares tokens, so that a conflict says that another has the duty.
+    /// Whether the platform checks fencing tokens, so that a conflict shows that another instance holds the duty.
     pub fenced: bool,
-    /// Length of a window of usage, in milliseconds.
+    /// Length of a usage window, in milliseconds.
     pub window_ms: u64,
-    /// How long after its end the usage of a window is due, in milliseconds.
+    /// Time after the end of a usage window by which its report is due, in milliseconds.
     pub due_ms: u64,
-    /// Calls a second that the platform takes from all instances.
+    /// Rate limit of the platform for calls from all instances, per second.
     pub calls_per_second: f64,
 }
 
 impl Duties {
-    /// The names of the duties in the settings.
+    /// Names of the duties in the settings.
     pub const NAMES: [&str; 2] = ["usage_report", "autoscale"];
 }
 
-/// Bound on the repeats that all instances send a service in a window of time.
+/// Retry budget: bounds the retries that all instances together send to a service within a time window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Repeats {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats on top.
+    /// Retries allowed in addition.
     pub slack: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: u64,
 }
 
-/// Bounds on what callers may do.
+/// Limits on client requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Longest body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time to send the headers, in seconds.
+    /// Maximum time to receive the headers, in seconds.
     pub header_seconds: u16,
-    /// Longest time to send the body, in milliseconds.
+    /// Maximum time to receive the body, in milliseconds.
     pub body_ms: u64,
-    /// Most requests held at once.
+    /// Maximum number of requests in flight.
     pub requests: usize,
-    /// Most requests waiting in a pool that this instance dispatches.
+    /// Maximum length of the queue of a pool that this instance dispatches.
     pub queue: usize,
 }
 
-/// How backend servers are dealt with.
+/// Timeouts and retries for backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Longest time to connect, in milliseconds.
+    /// Connect timeout, in milliseconds.
     pub connect_ms: u64,
-    /// Longest time to the first byte of an answer, in milliseconds.
+    /// Timeout for the first byte of a response, in milliseconds.
     pub first_byte_ms: u64,
-    /// Longest time between two pieces of an answer, in milliseconds.
+    /// Timeout between two chunks of a response, in milliseconds.
     pub stall_ms: u64,
-    /// Most attempts at one request.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Retries for each first attempt that the budget allows.
+    /// Retries that the budget allows per first attempt.
     pub retry_share: f64,
 }
 
-/// The platform's budgets and intervals.
+/// Quotas and intervals of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// Appends a second that all instances together may make.
+    /// Log appends per second that all instances together may make.
     pub appends_per_second: u32,
-    /// Longest time to wait for a claim to be confirmed, in milliseconds.
+    /// Maximum time to wait for the confirmation of a claim, in milliseconds.
     pub claim_ms: u64,
-    /// How long records are kept, in milliseconds.
+    /// Retention time of log records, in milliseconds.
     pub retention_ms: u64,
-    /// Time between two looks at the list, in milliseconds.
+    /// Polling interval of the member list, in milliseconds.
     pub members_ms: u64,
-    /// Time between two load reports, in milliseconds.
+    /// Interval between load reports, in milliseconds.
     pub load_ms: u64,
-    /// Records between two snapshots.
+    /// Number of records between snapshots.
     pub snapshot_every: u64,
 }
 
-/// What is told to the outside about the instance.
+/// Logging, metrics and tracing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Telemetry {
-    /// Lowest level of log lines.
+    /// Minimum log level.
     pub level: String,
     /// Base URL of an OTLP/HTTP collector.
     pub otlp: Option<String>,
-    /// One request in this many is traced when its caller did not decide; 0 for none.
+    /// Sampling: one request in this many is traced, unless the client decided; 0 disables tracing.
     pub sample_every: u32,
 }
 
-/// Reads and checks settings.
+/// Parses and validates settings.
 ///
 /// # Errors
 ///
-/// Every fault at once.
-pub fn parse(text: &str) -> Result<Settings, Vec<Fault>> {
+/// All errors in the settings.
+pub fn parse(text: &str) -> Result<Settings, Vec<Error>> {
     let table: toml::Table = match text.parse() {
         Ok(table) => table,
         Err(error) => {
             let reason = error.to_string();
-            return Err(vec![Fault { key: "(file)".into(), reason }]);
+            return Err(vec![Error { key: "(file)".into(), reason }]);
         }
     };
     let mut reader = Reader::new(table);
@@ -301,8 +299,8 @@
     }
 }
 
-/// The duties, if the platform takes calls of any. Names that are not known are passed over: they are of duties
-/// of a later version, and no reason not to serve.
+/// Reads the duties, if the platform accepts any. Unknown names are ignored: they may belong to a later version and
+/// are no reason to refuse to start.
 fn duties(reader: &mut Reader) -> Option<Duties> {
     let address = reader.optional_address("duties.address");
     let names = reader.names("duties.names");
--- a/crates/drumusher/src/summary.rs
+++ b/crates/drumusher/src/summary.rs
@@ -1,7 +1,7 @@
-//! What log lines of any number of instances tell of all requests: how they ended, by route and by
-//! second, and how far what dispatchers expected was from what came.
+//! Summarises the outcomes of all requests from log lines of any number of instances, by route and by second, and
+//! compares the dispatchers' estimates for the first event with the measured times.
 //!
-//! The causes are those of [`Cause`], the same by which a single request is explained.
+//! Causes are those of [`Cause`], as in the explanation of a single request.
 
 use std::{
     collections::BTreeMap,
@@ -12,32 +12,32 @@
 
 use crate::explain::{Cause, Step};
 
-/// Characters of a line's time up to the whole second.
-const SECOND: usize = "2026-01-01T00:00:00".len();
+/// Length of a timestamp up to the whole second.
+const SECOND_PREFIX_LEN: usize = "2026-01-01T00:00:00".len();
 
-/// Requests that ended, with what their lines tell.
+/// Counts of the requests in a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Group {
-    /// How many ended by each cause.
+    /// Number of requests by cause of the outcome.
     pub ends: BTreeMap<Cause, u32>,
-    /// Those that needed more than one attempt.
+    /// Number of requests with more than one attempt.
     pub retried: u32,
-    /// Those whose engine took over part of the prompt from another.
+    /// Number of requests whose engine fetched cached prompt state from another engine.
     pub cache_sourced: u32,
-    /// Milliseconds that first events were expected to take, for those that had one and an expectation.
+    /// Estimated times to the first event in milliseconds, for requests that have both an estimate and a first event.
     pub expected_ms: Vec<u64>,
-    /// Milliseconds that these first events took, in the same order.
-    pub came_ms: Vec<u64>,
+    /// Measured times to the first event of the same requests in milliseconds, in the same order.
+    pub actual_ms: Vec<u64>,
 }
 
-/// What log lines tell of all requests.
+/// Summary of the outcomes of all requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// By route.
+    /// Groups by route.
     pub routes: BTreeMap<String, Group>,
-    /// By the second in which they ended.
+    /// Groups by the second in which the requests ended.
     pub seconds: BTreeMap<String, Group>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub unread: usize,
 }
 
@@ -48,21 +48,21 @@
         self.retried += u32::from(number("attempts") > 1);
         self.cache_sourced +=
             u32::from(step.fact("source").is_some_and(|source| !source.is_empty()));
-        let (expected, came) = (number("expected_ms"), number("handed_ms"));
-        if expected > 0 && came > 0 {
+        let (expected, actual) = (number("expected_ms"), number("handed_ms"));
+        if expected > 0 && actual > 0 {
             self.expected_ms.push(expected);
-            self.came_ms.push(came);
+            self.actual_ms.push(actual);
         }
     }
 
-    /// All requests of the group.
+    /// Returns the number of requests in the group.
     pub fn total(&self) -> u32 {
         self.ends.values().sum()
     }
 }
 
 impl Summary {
-    /// Sums up log lines; what stands before the first brace of a line is passed over.
+    /// Summarises log lines; anything before the first brace of a line is ignored.
     pub fn new<'a>(lines: impl Iterator<Item = &'a str>) -> Summary {
         let mut summary = Summary::default();
         for line in lines.filter(|line| !line.trim().is_empty()) {
@@ -79,12 +79,12 @@
         let Some(step) = Step::new(line) else {
             return;
         };
-        let cause = Cause::of(std::slice::from_ref(&step));
+        let cause = Cause::from_steps(std::slice::from_ref(&step));
         if cause == Cause::Unknown {
             return;
         }
         let route = step.fact("route").unwrap_or("(none)").to_string();
-        let second = step.time.get(..SECOND).unwrap_or(&step.time).to_string();
+        let second = step.time.get(..SECOND_PREFIX_LEN).unwrap_or(&step.time).to_string();
         self.routes.entry(route).or_default().add(&step, cause);
         self.seconds.entry(second).or_default().add(&step, cause);
     }
@@ -95,7 +95,7 @@
         for (title, groups) in [("route", &self.routes), ("second", &self.seconds)] {
             writeln!(f, "by {title}")?;
             for (name, group) in groups {
-                writeln!(f, "  {name}: {}", row(group)?)?;
+                writeln!(f, "  {name}: {}", format_group(group)?)?;
             }
         }
         if self.unread > 0 {
@@ -105,14 +105,14 @@
     }
 }
 
-fn row(group: &Group) -> Result<String, fmt::Error> {
+fn format_group(group: &Group) -> Result<String, fmt::Error> {
     let mut row = format!("{} requests", group.total());
     for (cause, count) in &group.ends {
-        write!(row, ", {count} {}", cause.word())?;
+        write!(row, ", {count} {}", cause.as_str())?;
     }
     write!(row, "; {} tried again, {} with a source", group.retried, group.cache_sourced)?;
-    if let Some((expected, came)) = median(&group.expected_ms).zip(median(&group.came_ms)) {
-        write!(row, "; first event expected in {expected} ms, came in {came} ms (medians)")?;
+    if let Some((expected, actual)) = median(&group.expected_ms).zip(median(&group.actual_ms)) {
+        write!(row, "; first event expected in {expected} ms, came in {actual} ms (medians)")?;
     }
     Ok(row)
 }
