--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -25,8 +25,8 @@
     operator,
     routed::{
         Worker,
-        callers::Callers,
-        entry::{self, Never},
+        client_connections::ClientConnections,
+        handler::{self, Never},
         refusal,
     },
     settings::Settings,
@@ -132,13 +132,13 @@
             shared: shared.clone(),
             dialect: dialect.clone(),
             conns: upstream::Pool::new(),
-            callers: Callers::new(),
+            client_connections: ClientConnections::new(),
         };
-        rt::spawn(close_resting(shared.clone(), worker.callers.clone()));
+        rt::spawn(close_resting(shared.clone(), worker.client_connections.clone()));
         rt::spawn(prune(worker.conns.clone()));
         let worker = Rc::new(worker);
         HttpService::h1(ntex::fn_service(move |request: http::Request| {
-            entry::serve(worker.clone(), request)
+            handler::serve(worker.clone(), request)
         }))
     });
     let builder = builder.map_err(|e| e.to_string())?;
@@ -154,11 +154,11 @@
 }
 
 /// Closes callers' connections that rest, once a planned stop has lasted for a while.
-async fn close_resting(shared: Arc<Shared>, callers: Callers) {
+async fn close_resting(shared: Arc<Shared>, callers: ClientConnections) {
     loop {
         sleep(LOOK).await;
         if shared.stopping_for().is_some_and(|time| time > CLOSE_AFTER) {
-            let closed = callers.close_resting();
+            let closed = callers.close_idle();
             if closed > 0 {
                 log::info!(closed = closed; "stopping: connections that rest are closed");
             }
@@ -199,7 +199,7 @@
         }
     }
     let text = String::from_utf8_lossy(&statement).into_owned();
-    operator::answer(shared, &author, &text, request.headers()).await
+    operator::execute(shared, &author, &text, request.headers()).await
 }
 
 fn status(shared: &Shared, request: &http::Request) -> Response {
--- a/crates/drumusher/tests/suspension.rs
+++ b/crates/drumusher/tests/suspension.rs
@@ -113,7 +113,7 @@
             let mut conn =
                 upstream::Conn::connect(address, Millis(10_000)).await.expect("it is up");
             let until = clock::now() + hour;
-            conn.piece(until, || false).await.map(|_| ())
+            conn.next_part(until, || false).await.map(|_| ())
         })
     });
     let accepted = listening.join().expect("it ends").expect("a connection");
@@ -122,6 +122,6 @@
         clock::suspend(Duration::from_micros(hour + SECOND));
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(waiting.join().expect("it ends"), Err(upstream::Error::Silent));
+    assert_eq!(waiting.join().expect("it ends"), Err(upstream::Error::TimedOut));
     drop(accepted);
 }
