--- a/crates/drumusher-schedule/src/ask.rs
+++ b/crates/drumusher-schedule/src/ask.rs
@@ -72,7 +72,7 @@
     /// The backend server refused because it takes no more.
     Full,
     /// The backend server ran it and answered with an error of its own, rightly or not.
-    Erred,
+    ErrorResponse,
     /// No connection to the backend server came up: it got nothing.
     Unreached,
 }
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -250,14 +250,14 @@
             return;
         }
         match outcome {
-            Outcome::Done | Outcome::Failed | Outcome::Erred | Outcome::Unreached => {
+            Outcome::Done | Outcome::Failed | Outcome::ErrorResponse | Outcome::Unreached => {
                 self.tally.note(now, outcome != Outcome::Done);
             }
             Outcome::Cancelled | Outcome::Preempted | Outcome::Full => {}
         }
         match outcome {
             // One that answers is there, whatever it answers.
-            Outcome::Done | Outcome::Erred => self.succeed(),
+            Outcome::Done | Outcome::ErrorResponse => self.succeed(),
             Outcome::Failed | Outcome::Unreached => self.fail(now),
             Outcome::Full => self.refuse(now),
             Outcome::Cancelled | Outcome::Preempted => {}
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -78,7 +78,7 @@
         Outcome::Preempted,
         Outcome::Failed,
         Outcome::Full,
-        Outcome::Erred,
+        Outcome::ErrorResponse,
     ][usize::from(number)]
 }
 
--- a/crates/drumusher-schedule/tests/schedule/outlier.rs
+++ b/crates/drumusher-schedule/tests/schedule/outlier.rs
@@ -41,7 +41,7 @@
 /// A backend server that fails half of its requests, by an error of its own or by breaking off, gets
 /// probes alone; once they go well it is one among the others again.
 #[rstest]
-#[case(Outcome::Erred)]
+#[case(Outcome::ErrorResponse)]
 #[case(Outcome::Failed)]
 fn a_backend_server_that_fails_half_of_its_requests_gets_probes(#[case] outcome: Outcome) {
     let mut bench = Bench::new(policy(), 4, 8);
@@ -60,7 +60,7 @@
 #[test]
 fn what_fails_everywhere_blames_nobody() {
     let mut bench = Bench::new(policy(), 4, 8);
-    let some = |id: u128, _| if id % 5 < 2 { Outcome::Erred } else { Outcome::Done };
+    let some = |id: u128, _| if id % 5 < 2 { Outcome::ErrorResponse } else { Outcome::Done };
     send(&mut bench, 0, 300, some);
     for server in 0..4 {
         assert_eq!(health(&bench, server), Health::Good);
@@ -79,7 +79,7 @@
         for (id, luck) in luck.iter().enumerate() {
             let fails = fails.clone();
             send(&mut bench, id as u128 * 10, 1, move |_, server| {
-                if *luck < fails[usize::from(server)] { Outcome::Erred } else { Outcome::Done }
+                if *luck < fails[usize::from(server)] { Outcome::ErrorResponse } else { Outcome::Done }
             });
             let erring = (0..servers).filter(|s| matches!(health(&bench, *s), Health::Erring(_)));
             prop_assert!(erring.count() <= usize::from(servers) / 3);
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -93,7 +93,7 @@
         host.release_repeat(id);
         let digest = host.digests.remove(&id);
         let others = host.trials.end(clock::now(), id);
-        let answered = matches!(outcome, Outcome::Done | Outcome::Erred);
+        let answered = matches!(outcome, Outcome::Done | Outcome::ErrorResponse);
         if let Some(digest) = digest.filter(|_| answered) {
             self.clear(digest);
         }
--- a/crates/drumusher/src/process/dispatch/tally.rs
+++ b/crates/drumusher/src/process/dispatch/tally.rs
@@ -39,7 +39,7 @@
         let now = clock::now();
         let engine = self.is_engine(pool);
         let ran = |running: &Running| match outcome {
-            Outcome::Erred => !running.started,
+            Outcome::ErrorResponse => !running.started,
             Outcome::Done => !engine,
             Outcome::Failed if engine => !running.started && now >= running.granted + BEGUN,
             Outcome::Failed => true,
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -85,7 +85,7 @@
         1 => Outcome::Cancelled,
         2 => Outcome::Preempted,
         4 => Outcome::Full,
-        5 => Outcome::Erred,
+        5 => Outcome::ErrorResponse,
         6 => Outcome::Unreached,
         _ => Outcome::Failed,
     }
--- a/crates/drumusher/src/routed/exchange/end.rs
+++ b/crates/drumusher/src/routed/exchange/end.rs
@@ -79,7 +79,7 @@
     /// The answer of a backend server as it goes to the caller; the request ends with it.
     pub(super) fn deliver(&mut self, backend: &Backend, whole: Whole) -> Response {
         let erred = whole.head.status >= 500;
-        self.ticket.end(if erred { Outcome::Erred } else { Outcome::Done });
+        self.ticket.end(if erred { Outcome::ErrorResponse } else { Outcome::Done });
         self.ended(&backend.name, "delivered", whole.head.status);
         let mut response = self.head_of(&whole.head).finish();
         response.head_mut().no_chunking(false);
--- a/crates/drumusher/src/routed/exchange/failure.rs
+++ b/crates/drumusher/src/routed/exchange/failure.rs
@@ -36,7 +36,7 @@
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             Failure::NotRun(429 | 503) => Outcome::Full,
-            Failure::Failed(_) => Outcome::Erred,
+            Failure::Failed(_) => Outcome::ErrorResponse,
             Failure::NotConnected => Outcome::Unreached,
             Failure::Withheld => Outcome::Cancelled,
             _ => Outcome::Failed,
