--- a/crates/drumusher-schedule/src/ask.rs
+++ b/crates/drumusher-schedule/src/ask.rs
@@ -74,7 +74,7 @@
     /// The backend server ran it and answered with an error of its own, rightly or not.
     ErrorResponse,
     /// No connection to the backend server came up: it got nothing.
-    Unreached,
+    ConnectFailed,
 }
 
 /// A request that waits for its turn.
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -245,12 +245,12 @@
     pub fn end(&mut self, now: Micros, granted: Micros, outcome: Outcome) {
         self.running = self.running.saturating_sub(1);
         self.note(now);
-        let failed = matches!(outcome, Outcome::Failed | Outcome::Unreached);
+        let failed = matches!(outcome, Outcome::Failed | Outcome::ConnectFailed);
         if failed && self.is_part_of_outage(granted) {
             return;
         }
         match outcome {
-            Outcome::Done | Outcome::Failed | Outcome::ErrorResponse | Outcome::Unreached => {
+            Outcome::Done | Outcome::Failed | Outcome::ErrorResponse | Outcome::ConnectFailed => {
                 self.tally.note(now, outcome != Outcome::Done);
             }
             Outcome::Cancelled | Outcome::Preempted | Outcome::Full => {}
@@ -258,7 +258,7 @@
         match outcome {
             // One that answers is there, whatever it answers.
             Outcome::Done | Outcome::ErrorResponse => self.succeed(),
-            Outcome::Failed | Outcome::Unreached => self.fail(now),
+            Outcome::Failed | Outcome::ConnectFailed => self.fail(now),
             Outcome::Full => self.refuse(now),
             Outcome::Cancelled | Outcome::Preempted => {}
         }
--- a/crates/drumusher-schedule/tests/schedule/outage.rs
+++ b/crates/drumusher-schedule/tests/schedule/outage.rs
@@ -73,8 +73,8 @@
     for id in 0..4 {
         bench.ask(ask(id, URGENT, now));
     }
-    bench.finish(0, Outcome::Unreached);
-    bench.finish(1, Outcome::Unreached);
+    bench.finish(0, Outcome::ConnectFailed);
+    bench.finish(1, Outcome::ConnectFailed);
     let Health::Down(until, pause) = health(&bench, 0) else {
         panic!("{:?}", health(&bench, 0));
     };
@@ -85,7 +85,7 @@
     bench.now = until;
     let now = bench.now;
     assert_eq!(granted(&bench.ask(ask(9, URGENT, now))), [(9, 0)], "the probe");
-    bench.finish(9, Outcome::Unreached);
+    bench.finish(9, Outcome::ConnectFailed);
     assert_eq!(health(&bench, 0), Health::Down(now + 2 * pause, 2 * pause));
 }
 
@@ -99,13 +99,13 @@
     for id in 0..2 {
         let now = bench.now;
         bench.ask(ask(id, URGENT, now));
-        bench.finish(id, Outcome::Unreached);
+        bench.finish(id, Outcome::ConnectFailed);
     }
     let mut down_for = health(&bench, 0).down_for().expect("it failed twice");
     for id in 2..5 {
         bench.ask(ask(id, URGENT, bench.now));
         bench.pass(down_for + 100 * MILLISECOND);
-        bench.finish(id, Outcome::Unreached);
+        bench.finish(id, Outcome::ConnectFailed);
         down_for = health(&bench, 0).down_for().expect("it failed each probe");
     }
     assert!(down_for > 2 * SECOND, "{down_for}");
@@ -115,12 +115,12 @@
     assert_eq!(refused(&begun), Vec::<u128>::new());
     let orders = bench.pass(down_for + 100 * MILLISECOND);
     assert_eq!((granted(&orders), refused(&orders)), (vec![(11, 0)], vec![]));
-    bench.finish(11, Outcome::Unreached);
+    bench.finish(11, Outcome::ConnectFailed);
     let now = bench.now;
     let mut orders = bench.ask(Ask { produced: 8, ..ask(11, URGENT, now) });
     orders.extend(bench.pass(down_for * 2 + 100 * MILLISECOND));
     assert_eq!(granted(&orders), [(11, 0)], "eight seconds are within its bound");
-    bench.finish(11, Outcome::Unreached);
+    bench.finish(11, Outcome::ConnectFailed);
     let now = bench.now;
     let orders = bench.ask(Ask { produced: 8, ..ask(11, URGENT, now) });
     assert_eq!(refused(&orders), [11], "fifteen are not");
--- a/crates/drumusher/src/process/dispatch/tally.rs
+++ b/crates/drumusher/src/process/dispatch/tally.rs
@@ -43,7 +43,9 @@
             Outcome::Done => !engine,
             Outcome::Failed if engine => !running.started && now >= running.granted + BEGUN,
             Outcome::Failed => true,
-            Outcome::Cancelled | Outcome::Preempted | Outcome::Full | Outcome::Unreached => false,
+            Outcome::Cancelled | Outcome::Preempted | Outcome::Full | Outcome::ConnectFailed => {
+                false
+            }
         };
         self.count(pool, id, |running| ran(running).then_some(running.granted));
     }
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -86,7 +86,7 @@
         2 => Outcome::Preempted,
         4 => Outcome::Full,
         5 => Outcome::ErrorResponse,
-        6 => Outcome::Unreached,
+        6 => Outcome::ConnectFailed,
         _ => Outcome::Failed,
     }
 }
--- a/crates/drumusher/src/routed/exchange/failure.rs
+++ b/crates/drumusher/src/routed/exchange/failure.rs
@@ -37,7 +37,7 @@
         match self {
             Failure::NotRun(429 | 503) => Outcome::Full,
             Failure::Failed(_) => Outcome::ErrorResponse,
-            Failure::NotConnected => Outcome::Unreached,
+            Failure::NotConnected => Outcome::ConnectFailed,
             Failure::Withheld => Outcome::Cancelled,
             _ => Outcome::Failed,
         }
