--- a/crates/drumusher-schedule/src/ask.rs
+++ b/crates/drumusher-schedule/src/ask.rs
@@ -70,7 +70,7 @@
     /// The backend server failed or cut the stream.
     Failed,
     /// The backend server refused because it takes no more.
-    Full,
+    Overloaded,
     /// The backend server ran it and answered with an error of its own, rightly or not.
     ErrorResponse,
     /// No connection to the backend server came up: it got nothing.
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -253,13 +253,13 @@
             Outcome::Done | Outcome::Failed | Outcome::ErrorResponse | Outcome::ConnectFailed => {
                 self.tally.note(now, outcome != Outcome::Done);
             }
-            Outcome::Cancelled | Outcome::Preempted | Outcome::Full => {}
+            Outcome::Cancelled | Outcome::Preempted | Outcome::Overloaded => {}
         }
         match outcome {
             // One that answers is there, whatever it answers.
             Outcome::Done | Outcome::ErrorResponse => self.succeed(),
             Outcome::Failed | Outcome::ConnectFailed => self.fail(now),
-            Outcome::Full => self.refuse(now),
+            Outcome::Overloaded => self.refuse(now),
             Outcome::Cancelled | Outcome::Preempted => {}
         }
     }
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -77,7 +77,7 @@
         Outcome::Cancelled,
         Outcome::Preempted,
         Outcome::Failed,
-        Outcome::Full,
+        Outcome::Overloaded,
         Outcome::ErrorResponse,
     ][usize::from(number)]
 }
--- a/crates/drumusher/src/process/dispatch/tally.rs
+++ b/crates/drumusher/src/process/dispatch/tally.rs
@@ -43,9 +43,10 @@
             Outcome::Done => !engine,
             Outcome::Failed if engine => !running.started && now >= running.granted + BEGUN,
             Outcome::Failed => true,
-            Outcome::Cancelled | Outcome::Preempted | Outcome::Full | Outcome::ConnectFailed => {
-                false
-            }
+            Outcome::Cancelled
+            | Outcome::Preempted
+            | Outcome::Overloaded
+            | Outcome::ConnectFailed => false,
         };
         self.count(pool, id, |running| ran(running).then_some(running.granted));
     }
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -84,7 +84,7 @@
         0 => Outcome::Done,
         1 => Outcome::Cancelled,
         2 => Outcome::Preempted,
-        4 => Outcome::Full,
+        4 => Outcome::Overloaded,
         5 => Outcome::ErrorResponse,
         6 => Outcome::ConnectFailed,
         _ => Outcome::Failed,
--- a/crates/drumusher/src/request/stream.rs
+++ b/crates/drumusher/src/request/stream.rs
@@ -277,7 +277,7 @@
         span.end();
         self.scanner.restart();
         let outcome = match error {
-            attempt::Error::Full => Outcome::Full,
+            attempt::Error::Full => Outcome::Overloaded,
             _ => Outcome::Failed,
         };
         self.flow.end(outcome);
--- a/crates/drumusher/src/routed/exchange/failure.rs
+++ b/crates/drumusher/src/routed/exchange/failure.rs
@@ -35,7 +35,7 @@
     /// What it tells the dispatcher about the backend server.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
-            Failure::NotRun(429 | 503) => Outcome::Full,
+            Failure::NotRun(429 | 503) => Outcome::Overloaded,
             Failure::Failed(_) => Outcome::ErrorResponse,
             Failure::NotConnected => Outcome::ConnectFailed,
             Failure::Withheld => Outcome::Cancelled,
