--- a/crates/drumusher-schedule/src/event.rs
+++ b/crates/drumusher-schedule/src/event.rs
@@ -61,7 +61,7 @@
     /// A backend server takes so many requests a second from this dispatcher, or as many as it has room for.
     Limit(server::Key, Option<f64>),
     /// A backend server wants nothing from an entry until a time.
-    Rest(Entry, server::Key, Micros),
+    Cooldown(Entry, server::Key, Micros),
     /// An entry's process is gone with all its requests.
     EntryGone(Entry),
     /// A new version of the policy.
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -134,7 +134,7 @@
                     server.limit(now, per_second);
                 }
             }
-            Event::Rest(entry, key, until) => self.rest(entry, key, until),
+            Event::Cooldown(entry, key, until) => self.rest(entry, key, until),
             Event::EntryGone(entry) => self.entry_gone(now, entry),
             Event::Policy(policy) => self.adopt(policy),
             Event::Tick => self.tick(now, orders),
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -167,7 +167,7 @@
         Step::Gone { entry } => Event::EntryGone(Entry(*entry)),
         Step::Limit { server, per_second } => Event::Limit(Key(*server), per_second.map(f64::from)),
         Step::Rest { server, entry, time } => {
-            Event::Rest(Entry(*entry), Key(*server), bench.now + time * MILLISECOND)
+            Event::Cooldown(Entry(*entry), Key(*server), bench.now + time * MILLISECOND)
         }
         Step::Pass { .. } => return None,
     })
@@ -206,7 +206,7 @@
                     drop(entries.limited.insert(*key, (*rate as u32, Vec::new())));
                 }
                 Event::Limit(key, None) => drop(entries.limited.remove(key)),
-                Event::Rest(entry, key, until) => {
+                Event::Cooldown(entry, key, until) => {
                     let end = entries.rests.entry((*entry, *key)).or_default();
                     *end = *until.max(end);
                 }
--- a/crates/drumusher-schedule/tests/schedule/rests.rs
+++ b/crates/drumusher-schedule/tests/schedule/rests.rs
@@ -19,7 +19,7 @@
 fn it_binds_its_entry_and_ends() {
     let mut bench = Bench::new(policy(), 2, 4);
     let now = bench.now;
-    bench.tell(Event::Rest(Entry(1), Key(0), now + 3 * SECOND));
+    bench.tell(Event::Cooldown(Entry(1), Key(0), now + 3 * SECOND));
     for id in 1..=4 {
         assert_eq!(granted(&bench.ask(ask_by(1, id, now))), [(id, 1)]);
     }
@@ -38,8 +38,8 @@
 fn the_later_end_holds() {
     let mut bench = Bench::new(policy(), 1, 4);
     let now = bench.now;
-    bench.tell(Event::Rest(Entry(1), Key(0), now + 2 * SECOND));
-    bench.tell(Event::Rest(Entry(1), Key(0), now + SECOND));
+    bench.tell(Event::Cooldown(Entry(1), Key(0), now + 2 * SECOND));
+    bench.tell(Event::Cooldown(Entry(1), Key(0), now + SECOND));
     bench.ask(ask_by(1, 1, now));
     bench.now += 1_500 * MILLISECOND;
     assert_eq!(granted(&bench.tell(Event::Tick)), []);
@@ -59,7 +59,7 @@
     bench.ask(ask_by(2, 2, now));
     assert_eq!(granted(&bench.ask(ask_by(1, 3, now))), []);
     for key in 0..2 {
-        bench.tell(Event::Rest(Entry(1), Key(key), now + 4 * SECOND + u64::from(key)));
+        bench.tell(Event::Cooldown(Entry(1), Key(key), now + 4 * SECOND + u64::from(key)));
     }
     bench.now += 100 * MILLISECOND;
     assert_eq!(refused(&bench.tell(Event::Tick)), [3]);
@@ -77,7 +77,7 @@
 fn an_entry_that_is_gone_leaves_no_rest() {
     let mut bench = Bench::new(policy(), 1, 4);
     let now = bench.now;
-    bench.tell(Event::Rest(Entry(1), Key(0), now + 60 * SECOND));
+    bench.tell(Event::Cooldown(Entry(1), Key(0), now + 60 * SECOND));
     bench.tell(Event::EntryGone(Entry(1)));
     assert_eq!(granted(&bench.ask(ask_by(1, 1, now))), [(1, 0)]);
 }
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -120,7 +120,7 @@
             self.share_limits(&pool, now);
         }
         if let Some(left) = notice.rest.filter(|left| *left > 0) {
-            self.handle(&pool, Event::Rest(entry, key, now + left as u64));
+            self.handle(&pool, Event::Cooldown(entry, key, now + left as u64));
         }
     }
 
