--- a/crates/drumusher-schedule/src/event.rs
+++ b/crates/drumusher-schedule/src/event.rs
@@ -59,7 +59,7 @@
     /// A backend server is leaving or gone: it gets no new work.
     Leave(server::Key),
     /// A backend server takes so many requests a second from this dispatcher, or as many as it has room for.
-    Limit(server::Key, Option<f64>),
+    RateLimit(server::Key, Option<f64>),
     /// A backend server wants nothing from an entry until a time.
     Cooldown(Entry, server::Key, Micros),
     /// An entry's process is gone with all its requests.
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -129,7 +129,7 @@
             }
             Event::Server(key, options) => self.join(key, options),
             Event::Leave(key) => self.leave(key),
-            Event::Limit(key, per_second) => {
+            Event::RateLimit(key, per_second) => {
                 if let Some(server) = self.server(key) {
                     server.limit(now, per_second);
                 }
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -165,7 +165,9 @@
         }),
         Step::Leave { server } => Event::Leave(Key(*server)),
         Step::Gone { entry } => Event::EntryGone(Entry(*entry)),
-        Step::Limit { server, per_second } => Event::Limit(Key(*server), per_second.map(f64::from)),
+        Step::Limit { server, per_second } => {
+            Event::RateLimit(Key(*server), per_second.map(f64::from))
+        }
         Step::Rest { server, entry, time } => {
             Event::Cooldown(Entry(*entry), Key(*server), bench.now + time * MILLISECOND)
         }
@@ -202,10 +204,10 @@
                 }
                 Event::Finish(id, ..) => drop(entries.running.remove(id)),
                 Event::Withdraw(id) => drop(entries.waiting.remove(id)),
-                Event::Limit(key, Some(rate)) => {
+                Event::RateLimit(key, Some(rate)) => {
                     drop(entries.limited.insert(*key, (*rate as u32, Vec::new())));
                 }
-                Event::Limit(key, None) => drop(entries.limited.remove(key)),
+                Event::RateLimit(key, None) => drop(entries.limited.remove(key)),
                 Event::Cooldown(entry, key, until) => {
                     let end = entries.rests.entry((*entry, *key)).or_default();
                     *end = *until.max(end);
--- a/crates/drumusher-schedule/tests/schedule/limits.rs
+++ b/crates/drumusher-schedule/tests/schedule/limits.rs
@@ -54,7 +54,7 @@
 #[case(25.0)]
 fn a_limit_is_kept_and_used_in_full(#[case] limit: f64) {
     let mut bench = Bench::new(policy(), 2, 8);
-    bench.tell(Event::Limit(Key(0), Some(limit)));
+    bench.tell(Event::RateLimit(Key(0), Some(limit)));
     let grants = ask_at(&mut bench, 60, 20 * SECOND);
     let most = most(&grants, Key(0)) as f64;
     assert!(most <= 1.5 * limit * 4.0 + 5.0, "{most} in 4 s");
@@ -67,12 +67,12 @@
 #[test]
 fn a_high_limit_and_an_ended_one_hold_up_nothing() {
     let mut bench = Bench::new(policy(), 1, 8);
-    bench.tell(Event::Limit(Key(0), Some(1_000.0)));
+    bench.tell(Event::RateLimit(Key(0), Some(1_000.0)));
     assert!(ask_at(&mut bench, 60, 5 * SECOND).len() >= 280);
-    bench.tell(Event::Limit(Key(0), Some(0.0)));
+    bench.tell(Event::RateLimit(Key(0), Some(0.0)));
     assert!(ask_at(&mut bench, 60, 2 * SECOND).len() <= 1);
     let waiting = bench.pool.waiting();
-    let freed = bench.tell(Event::Limit(Key(0), None));
+    let freed = bench.tell(Event::RateLimit(Key(0), None));
     assert!(waiting == 0 || !granted(&freed).is_empty());
 }
 
@@ -84,7 +84,7 @@
     policy.classes.iter_mut().for_each(|class| class.wait = 5 * SECOND);
     policy.classes.iter_mut().for_each(|class| class.floor_queue = 0);
     let mut bench = Bench::new(policy, 2, 8);
-    (0..2).for_each(|key| drop(bench.tell(Event::Limit(Key(key), Some(1.0)))));
+    (0..2).for_each(|key| drop(bench.tell(Event::RateLimit(Key(key), Some(1.0)))));
     let now = bench.now;
     for id in 1..=10 {
         assert_eq!(
@@ -110,7 +110,7 @@
     let mut bench = Bench::new(policy(), 1, 4);
     let now = bench.now;
     (1..=2).for_each(|id| drop(bench.ask(ask(id, BULK, now))));
-    bench.tell(Event::Limit(Key(0), Some(0.2)));
+    bench.tell(Event::RateLimit(Key(0), Some(0.2)));
     bench.ask(ask(3, URGENT, now));
     bench.now += 3 * SECOND;
     assert_eq!(stopped(&bench.tell(Event::Tick)), []);
--- a/crates/drumusher/src/process/dispatch/host.rs
+++ b/crates/drumusher/src/process/dispatch/host.rs
@@ -187,7 +187,7 @@
             // With what is known of its limit the decisions forget the limit: nobody would lift it when it is back.
             self.notices.remove(&name);
             let key = self.key(&name);
-            events.extend([Event::Leave(key), Event::Limit(key, None)]);
+            events.extend([Event::Leave(key), Event::RateLimit(key, None)]);
         }
         events
     }
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -138,7 +138,7 @@
         let Some(host) = self.hosts.get_mut(pool) else { return };
         let part = host.budget.part(now, instances);
         let rates = host.notices.rates(now, part);
-        let known = |(server, rate)| Some(Event::Limit(*host.known.get(&server)?, rate));
+        let known = |(server, rate)| Some(Event::RateLimit(*host.known.get(&server)?, rate));
         let events: Vec<Event> = rates.into_iter().filter_map(known).collect();
         events.into_iter().for_each(|event| self.handle(pool, event));
     }
--- a/crates/drumusher/tests/unit/host.rs
+++ b/crates/drumusher/tests/unit/host.rs
@@ -91,5 +91,5 @@
     let wanted = BTreeMap::from([(backend.name.clone(), &backend)]);
     host.refresh("p", &wanted, true, 1);
     let events = host.refresh("p", &BTreeMap::new(), true, 1);
-    assert!(events.iter().any(|event| matches!(event, Event::Limit(_, None))), "{events:?}");
+    assert!(events.iter().any(|event| matches!(event, Event::RateLimit(_, None))), "{events:?}");
 }
