--- a/crates/drumusher-schedule/src/event.rs
+++ b/crates/drumusher-schedule/src/event.rs
@@ -53,7 +53,7 @@
     /// A lagging load report.
     Load(Load),
     /// An engine told which parts of prompts it keeps.
-    Kept(server::Key, Vec<u64>),
+    CachedParts(server::Key, Vec<u64>),
     /// A backend server joined or changed.
     Server(server::Key, server::Options),
     /// A backend server is leaving or gone: it gets no new work.
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -122,7 +122,7 @@
             Event::Progress(progress) => self.progress(now, progress),
             Event::Finish(id, outcome, produced) => self.finish(now, id, outcome, produced),
             Event::Load(load) => self.report(now, &load),
-            Event::Kept(key, parts) => {
+            Event::CachedParts(key, parts) => {
                 if let Some(server) = self.server(key) {
                     server.engine_mut().keep(now, &parts);
                 }
--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -365,7 +365,7 @@
         let key = self.hosts.get(pool).and_then(|host| host.known.get(server).copied());
         if let Some(key) = key {
             log::info!(server = server, parts = parts.len(); "an engine told what it keeps");
-            self.handle(pool, Event::Kept(key, parts));
+            self.handle(pool, Event::CachedParts(key, parts));
         }
     }
 
