--- a/crates/drumusher-bench/src/capacity/slopes.rs
+++ b/crates/drumusher-bench/src/capacity/slopes.rs
@@ -134,7 +134,7 @@
         repeatable: true,
         preemptions: 2,
         avoid: None,
-        moved: false,
+        migrated: false,
         apart: Vec::new(),
         output: 0,
         parts: Vec::new(),
--- a/crates/drumusher-bench/src/policy/simulation.rs
+++ b/crates/drumusher-bench/src/policy/simulation.rs
@@ -298,7 +298,7 @@
             repeatable: true,
             preemptions: self.preempted[number],
             avoid: self.avoid[number],
-            moved: false,
+            migrated: false,
             apart: Vec::new(),
             output: 0,
             parts: Vec::new(),
--- a/crates/drumusher-schedule/src/ask.rs
+++ b/crates/drumusher-schedule/src/ask.rs
@@ -49,7 +49,7 @@
     /// The backend server whose attempt failed last.
     pub avoid: Option<server::Key>,
     /// Whether another dispatcher was asked before.
-    pub moved: bool,
+    pub migrated: bool,
     /// Backend servers beside whose requests it is not to run, if there is another one.
     pub apart: Vec<server::Key>,
     /// Expected tokens of the answer; 0 if the caller gave no hint.
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -259,7 +259,7 @@
     /// Begins to serve the requests of another dispatcher. Reports from before now show its grants,
     /// which are not the work of others: entries declare those that still run.
     fn take_over(&mut self, now: Micros, ask: &Ask) {
-        if !ask.moved || !self.asks.is_empty() {
+        if !ask.migrated || !self.asks.is_empty() {
             return;
         }
         self.taken_over = now;
--- a/crates/drumusher-schedule/tests/schedule/reports.rs
+++ b/crates/drumusher-schedule/tests/schedule/reports.rs
@@ -50,8 +50,8 @@
     let mut bench = Bench::new(policy(), 1, PLACES);
     report(&mut bench, PLACES, 0);
     let now = bench.now;
-    let moved = Ask { moved: true, ..ask(1, URGENT, now) };
-    assert_eq!(granted(&bench.ask(moved)), [(1, 0)]);
+    let migrated = Ask { migrated: true, ..ask(1, URGENT, now) };
+    assert_eq!(granted(&bench.ask(migrated)), [(1, 0)]);
     bench.pass(50 * MILLISECOND);
     report(&mut bench, PLACES, 0);
     let now = bench.now;
--- a/crates/drumusher-schedule/tests/schedule/support.rs
+++ b/crates/drumusher-schedule/tests/schedule/support.rs
@@ -48,7 +48,7 @@
         repeatable: true,
         preemptions: 0,
         avoid: None,
-        moved: false,
+        migrated: false,
         apart: Vec::new(),
         output: 0,
         parts: Vec::new(),
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -40,7 +40,7 @@
         produced: wire.produced.unwrap_or(0).max(0) as u32,
         repeatable: !wire.unrepeatable.unwrap_or(false),
         preemptions: wire.preemptions.unwrap_or(0).clamp(0, 255) as u8,
-        moved: wire.server.is_some()
+        migrated: wire.server.is_some()
             || Attempt::from_wire(wire.attempt.unwrap_or(0)) == Attempt::Again,
         avoid: avoid.and_then(|name| known.get(name).copied()),
         apart,
