--- a/crates/drumusher-bench/src/capacity/slopes.rs
+++ b/crates/drumusher-bench/src/capacity/slopes.rs
@@ -135,7 +135,7 @@
         preemptions: 2,
         avoid: None,
         migrated: false,
-        apart: Vec::new(),
+        anti_affinity: Vec::new(),
         output: 0,
         parts: Vec::new(),
     }
--- a/crates/drumusher-bench/src/policy/simulation.rs
+++ b/crates/drumusher-bench/src/policy/simulation.rs
@@ -299,7 +299,7 @@
             preemptions: self.preempted[number],
             avoid: self.avoid[number],
             migrated: false,
-            apart: Vec::new(),
+            anti_affinity: Vec::new(),
             output: 0,
             parts: Vec::new(),
         };
--- a/crates/drumusher-schedule/src/ask.rs
+++ b/crates/drumusher-schedule/src/ask.rs
@@ -51,7 +51,7 @@
     /// Whether another dispatcher was asked before.
     pub migrated: bool,
     /// Backend servers beside whose requests it is not to run, if there is another one.
-    pub apart: Vec<server::Key>,
+    pub anti_affinity: Vec<server::Key>,
     /// Expected tokens of the answer; 0 if the caller gave no hint.
     pub output: u32,
     /// The parts of the prompt in order; empty if the caller did not name them.
--- a/crates/drumusher-schedule/src/pool/grant.rs
+++ b/crates/drumusher-schedule/src/pool/grant.rs
@@ -237,7 +237,7 @@
             if !scope.has(server, now) || self.rests.has(now, ask.entry, key) {
                 continue;
             }
-            let (beside, avoided) = (ask.apart.contains(&key), ask.avoid == Some(key));
+            let (beside, avoided) = (ask.anti_affinity.contains(&key), ask.avoid == Some(key));
             let failing = server.failing(now).unwrap_or(0.0);
             let cost = server.cost(ask.prompt, prefix, usual) * (1.0 + FAILING * failing);
             let better = best.is_none_or(|(b, a, c, _)| (beside, avoided, cost) < (b, a, c));
--- a/crates/drumusher-schedule/src/pool/place.rs
+++ b/crates/drumusher-schedule/src/pool/place.rs
@@ -53,7 +53,7 @@
                 continue;
             }
             let reading = server.engine().reading(&work, again, offered);
-            let (beside, avoided) = (ask.apart.contains(&key), ask.avoid == Some(key));
+            let (beside, avoided) = (ask.anti_affinity.contains(&key), ask.avoid == Some(key));
             let elsewhere = usual.is_some_and(|usual| usual != key);
             let strange = if elsewhere { shared * ELSEWHERE } else { 0.0 };
             let cost = server.engine().cost(now, &work, reading, on_side(key)) + strange;
--- a/crates/drumusher-schedule/tests/schedule/support.rs
+++ b/crates/drumusher-schedule/tests/schedule/support.rs
@@ -49,7 +49,7 @@
         preemptions: 0,
         avoid: None,
         migrated: false,
-        apart: Vec::new(),
+        anti_affinity: Vec::new(),
         output: 0,
         parts: Vec::new(),
     }
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -43,7 +43,7 @@
         migrated: wire.server.is_some()
             || Attempt::from_wire(wire.attempt.unwrap_or(0)) == Attempt::Again,
         avoid: avoid.and_then(|name| known.get(name).copied()),
-        apart,
+        anti_affinity: apart,
         output: wire.output.unwrap_or(0).max(0) as u32,
         parts: wire.parts.iter().flatten().map(read_part).collect(),
     })
