--- a/crates/drumusher-schedule/src/pool/grant.rs
+++ b/crates/drumusher-schedule/src/pool/grant.rs
@@ -238,7 +238,7 @@
                 continue;
             }
             let (beside, avoided) = (ask.anti_affinity.contains(&key), ask.avoid == Some(key));
-            let failing = server.failing(now).unwrap_or(0.0);
+            let failing = server.failure_rate(now).unwrap_or(0.0);
             let cost = server.cost(ask.prompt, prefix, usual) * (1.0 + FAILING * failing);
             let better = best.is_none_or(|(b, a, c, _)| (beside, avoided, cost) < (b, a, c));
             if better {
--- a/crates/drumusher-schedule/src/pool/health.rs
+++ b/crates/drumusher-schedule/src/pool/health.rs
@@ -85,7 +85,7 @@
         for (_, server) in serving {
             all += 1;
             outliers += usize::from(matches!(server.health(), Health::Erring(_)));
-            shares.extend(server.failing(now));
+            shares.extend(server.failure_rate(now));
         }
         let median = outlier::median(shares.into_iter());
         for server in self.servers.iter_mut().flatten() {
--- a/crates/drumusher-schedule/src/server/health.rs
+++ b/crates/drumusher-schedule/src/server/health.rs
@@ -139,7 +139,7 @@
     }
 
     /// The share of requests that failed lately, when there were enough.
-    pub fn failing(&self, now: Micros) -> Option<f64> {
+    pub fn failure_rate(&self, now: Micros) -> Option<f64> {
         self.tally.share(now)
     }
 
