--- a/crates/drumusher-schedule/src/pool/grant.rs
+++ b/crates/drumusher-schedule/src/pool/grant.rs
@@ -253,7 +253,7 @@
     fn usual_gap(&self) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for (_, server) in self.servers() {
-            if let Some(gap) = server.seen_gap() {
+            if let Some(gap) = server.estimated_gap() {
                 sum += gap;
                 count += 1.0;
             }
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -195,7 +195,7 @@
     }
 
     /// Mean time between tokens in microseconds, of however few samples.
-    pub fn seen_gap(&self) -> Option<f64> {
+    pub fn estimated_gap(&self) -> Option<f64> {
         (self.gap_samples > 0).then_some(self.gap)
     }
 
@@ -203,7 +203,7 @@
     /// of which nothing was seen is taken for as fast as the others, `usual` between tokens.
     pub fn cost(&self, prompt: u32, prefix: u64, usual: f64) -> f64 {
         let occupied = f64::from(self.running + self.foreign);
-        let step = self.seen_gap().unwrap_or(usual).max(MILLISECOND as f64);
+        let step = self.estimated_gap().unwrap_or(usual).max(MILLISECOND as f64);
         let prompt_time = if self.holds(prefix) { 0.0 } else { f64::from(prompt) * PROMPT_TOKEN };
         step * (1.0 + 4.0 * occupied / self.limit.max(1.0)) + prompt_time
     }
--- a/crates/drumusher/src/process/dispatch/health.rs
+++ b/crates/drumusher/src/process/dispatch/health.rs
@@ -61,7 +61,7 @@
                 before = before.word(),
                 failures = server.failures(),
                 down_ms = health.down_for().unwrap_or(0) / MILLISECOND,
-                gap_ms = server.seen_gap().unwrap_or(0.0) as u64 / MILLISECOND,
+                gap_ms = server.estimated_gap().unwrap_or(0.0) as u64 / MILLISECOND,
                 failing = server.failure_rate(now).unwrap_or(0.0),
                 running = server.running();
                 "backend server is {}", health.word()
--- a/crates/drumusher/src/process/dispatch/tally.rs
+++ b/crates/drumusher/src/process/dispatch/tally.rs
@@ -23,7 +23,7 @@
         let now = clock::now();
         let gap = |running: &Running| {
             let host = self.hosts.get(&Pool::parse(pool)?)?;
-            host.pool.server_at(running.server)?.seen_gap()
+            host.pool.server_at(running.server)?.estimated_gap()
         };
         self.count(pool, id, |running| {
             let gap = gap(running).unwrap_or(0.0) as Micros;
