--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -177,7 +177,7 @@
     }
 
     /// Mean time between tokens in microseconds, when enough was seen.
-    pub fn known_gap(&self) -> Option<f64> {
+    pub fn measured_gap(&self) -> Option<f64> {
         (self.gap_samples >= ENOUGH_SAMPLES).then_some(self.gap)
     }
 
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -99,7 +99,7 @@
         "running_of_others": server.foreign(),
         "window": server.window(),
         "free": server.free(now),
-        "token_gap_us": server.known_gap().map(|gap| gap as u64),
+        "token_gap_us": server.measured_gap().map(|gap| gap as u64),
     }))
 }
 
