--- a/crates/drumusher-schedule/src/rank.rs
+++ b/crates/drumusher-schedule/src/rank.rs
@@ -11,7 +11,7 @@
 /// a chance of nine in ten.
 const PREFERENCE: i32 = 3;
 /// The capacity of an instance of which none is known: one core.
-pub const CAPACITY: u32 = 1_000;
+pub const DEFAULT_CAPACITY: u32 = 1_000;
 /// Bits of a random number that a fraction holds without rounding.
 const FRACTION_BITS: u32 = 53;
 
@@ -26,7 +26,7 @@
 
 impl<'a> From<&'a str> for Candidate<'a> {
     fn from(name: &'a str) -> Self {
-        Candidate { name, capacity: CAPACITY }
+        Candidate { name, capacity: DEFAULT_CAPACITY }
     }
 }
 
@@ -36,7 +36,7 @@
     fn distance(&self, role: &str) -> f64 {
         let random = (weight(role, self.name) >> (u64::BITS - FRACTION_BITS)) + 1;
         let fraction = random as f64 / (1_u64 << FRACTION_BITS) as f64;
-        let capacity = f64::from(self.capacity.max(1)) / f64::from(CAPACITY);
+        let capacity = f64::from(self.capacity.max(1)) / f64::from(DEFAULT_CAPACITY);
         -fraction.ln() / capacity.powi(PREFERENCE)
     }
 }
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -57,7 +57,7 @@
         View {
             name,
             area,
-            capacity: rank::CAPACITY,
+            capacity: rank::DEFAULT_CAPACITY,
             directory: Arc::default(),
             absent: BTreeMap::new(),
             leaving: BTreeSet::new(),
--- a/crates/drumusher/src/process/catalog/membership.rs
+++ b/crates/drumusher/src/process/catalog/membership.rs
@@ -53,7 +53,7 @@
 
 /// The capacity of an instance that does not tell its own.
 fn usual_capacity() -> u32 {
-    rank::CAPACITY
+    rank::DEFAULT_CAPACITY
 }
 
 impl Instance {
--- a/crates/drumusher/src/version/directory.rs
+++ b/crates/drumusher/src/version/directory.rs
@@ -155,7 +155,7 @@
         let leaving = member.state == members::State::Leaving;
         if member.kind == Kind::Instance {
             let address = member.address.clone();
-            let capacity = rank::CAPACITY;
+            let capacity = rank::DEFAULT_CAPACITY;
             let instance = Instance { name: name.clone(), area, address, leaving, capacity };
             self.instances.insert(name, instance);
             return;
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -4,7 +4,7 @@
 
 use drumusher_adapter_stand_in::{Away, server::body};
 use drumusher_bench::fleet::wait_for;
-use drumusher_schedule::rank::{self, CAPACITY, Candidate};
+use drumusher_schedule::rank::{self, Candidate, DEFAULT_CAPACITY};
 use rstest::rstest;
 
 use crate::support::{Call, DESK, Deployment, configuration, read};
@@ -185,7 +185,7 @@
 /// The places of the four of six instances that read the store once all are listed.
 pub fn four_by_rank() -> Vec<usize> {
     let names: Vec<String> = (0..6).map(|at| format!("i{at}")).collect();
-    let candidates = names.iter().map(|name| Candidate { name, capacity: CAPACITY });
+    let candidates = names.iter().map(|name| Candidate { name, capacity: DEFAULT_CAPACITY });
     let ranked = rank::order("store", candidates);
     let first = ranked.into_iter().take(4);
     let mut places: Vec<usize> =
