--- a/crates/drumusher-bench/src/capacity/slopes.rs
+++ b/crates/drumusher-bench/src/capacity/slopes.rs
@@ -152,7 +152,7 @@
     for id in 0..places + waiting as u128 {
         pool.handle(now, Event::Ask(ask(id)), &mut orders);
     }
-    let mut running: Vec<Id> = pool.each_running().map(|running| running.ask.id).collect();
+    let mut running: Vec<Id> = pool.iter_running().map(|running| running.ask.id).collect();
     orders.clear();
     let since = Instant::now();
     for round in 0..ROUNDS {
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -168,7 +168,7 @@
     }
 
     /// The requests that wait.
-    pub fn each_waiting(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter_waiting(&self) -> impl Iterator<Item = &Waiting> {
         self.asks.iter().filter_map(|(_, state)| match state {
             State::Waiting(waiting) => Some(waiting),
             State::Running(_) => None,
@@ -176,7 +176,7 @@
     }
 
     /// The requests that run.
-    pub fn each_running(&self) -> impl Iterator<Item = &Running> {
+    pub fn iter_running(&self) -> impl Iterator<Item = &Running> {
         self.asks.iter().filter_map(|(_, state)| match state {
             State::Running(running) => Some(running),
             State::Waiting(_) => None,
--- a/crates/drumusher-schedule/src/pool/preempt.rs
+++ b/crates/drumusher-schedule/src/pool/preempt.rs
@@ -90,7 +90,7 @@
             let at_risk = now + target / 2 > running.ask.arrived + target;
             running.server == server && !running.begun && running.granted <= as_of && at_risk
         };
-        let late: Vec<u8> = self.each_running().filter(late).map(|running| running.tier).collect();
+        let late: Vec<u8> = self.iter_running().filter(late).map(|running| running.tier).collect();
         let Some(tier) = late.iter().min().copied() else {
             return Vec::new();
         };
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -192,7 +192,7 @@
                     let orders = bench.tell(Event::Tick);
                     entries.obey(&orders, &bench, &asks);
                 }
-                let known: BTreeSet<Id> = bench.pool.each_running().map(|r| r.ask.id).collect();
+                let known: BTreeSet<Id> = bench.pool.iter_running().map(|r| r.ask.id).collect();
                 entries.running.retain(|id, _| known.contains(id));
                 continue;
             }
@@ -246,7 +246,7 @@
             }
         }
         for _ in 0..2_000 {
-            let running: Vec<Id> = bench.pool.each_running().map(|r| r.ask.id).collect();
+            let running: Vec<Id> = bench.pool.iter_running().map(|r| r.ask.id).collect();
             for id in running {
                 bench.finish(id, Outcome::Done);
             }
--- a/crates/drumusher-schedule/tests/schedule/outage.rs
+++ b/crates/drumusher-schedule/tests/schedule/outage.rs
@@ -135,7 +135,7 @@
     for id in 0..4 * STREAMS {
         assert_eq!(granted(&bench.ask(ask(id, URGENT, now))).len(), 1);
     }
-    let running = bench.pool.each_running().map(|running| (running.ask.id, running.server));
+    let running = bench.pool.iter_running().map(|running| (running.ask.id, running.server));
     let running: Vec<(u128, Key)> = running.collect();
     for (id, server) in running {
         let outcome = if server == Key(0) { Outcome::Failed } else { Outcome::Done };
--- a/crates/drumusher-schedule/tests/schedule/pool.rs
+++ b/crates/drumusher-schedule/tests/schedule/pool.rs
@@ -252,7 +252,7 @@
         bench.ask(ask(id, URGENT, now));
     }
     let on_first = |bench: &Bench| {
-        let running = bench.pool.each_running().find(|running| running.server == Key(0));
+        let running = bench.pool.iter_running().find(|running| running.server == Key(0));
         running.map(|running| running.ask.id)
     };
     for id in 10..12 {
@@ -284,7 +284,7 @@
     let mut orders = Vec::new();
     for round in 1..10 {
         let running: Vec<(u128, u16)> =
-            bench.pool.each_running().map(|running| (running.ask.id, running.server.0)).collect();
+            bench.pool.iter_running().map(|running| (running.ask.id, running.server.0)).collect();
         for (id, server) in running {
             let gap = if server == 1 { 30 * MILLISECOND } else { 5 * MILLISECOND };
             orders.extend(bench.progress(id, round * 10, gap));
@@ -468,7 +468,7 @@
     for id in 20..26 {
         bench.ask(ask(id, URGENT, now));
     }
-    let on_first = bench.pool.each_running().filter(|running| running.server == Key(0)).count();
+    let on_first = bench.pool.iter_running().filter(|running| running.server == Key(0)).count();
     assert_eq!(on_first, 3);
 }
 
--- a/crates/drumusher-schedule/tests/schedule/sides.rs
+++ b/crates/drumusher-schedule/tests/schedule/sides.rs
@@ -125,7 +125,7 @@
         bench.ask(Ask { prompt: tokens, parts, ..ask(id, class, now) });
         bench.pass(50 * MILLISECOND);
     }
-    let patient = bench.pool.each_running().filter(|running| running.patient).count();
+    let patient = bench.pool.iter_running().filter(|running| running.patient).count();
     assert_eq!(patient > 0, apart);
 }
 
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -49,14 +49,14 @@
 ) {
     let now = clock::now();
     match source {
-        Source::Running => rows.extend(state.each_running().map(|running| {
+        Source::Running => rows.extend(state.iter_running().map(|running| {
             let mut row = ask(&running.ask, pool, version);
             row.insert("server".into(), json!(&*names[usize::from(running.server.0)]));
             row.insert("running".into(), json!((now - running.granted) / 1_000));
             row.insert("tokens".into(), json!(running.produced));
             row
         })),
-        Source::Waiting => rows.extend(state.each_waiting().map(|waiting| {
+        Source::Waiting => rows.extend(state.iter_waiting().map(|waiting| {
             let mut row = ask(&waiting.ask, pool, version);
             row.insert("waited".into(), json!((now - waiting.since) / 1_000));
             row
