--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -149,7 +149,7 @@
     }
 
     /// Whether a request waits.
-    pub fn waits(&self, id: Id) -> bool {
+    pub fn is_waiting(&self, id: Id) -> bool {
         self.ids.get(&id).is_some_and(|key| self.waiting_at(*key).is_some())
     }
 
--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -116,7 +116,7 @@
 
     /// Tells the entry that its ask waits, so that it need not take silence for an outage.
     fn acknowledge(&mut self, entry: Entry, asked: &peer::Ask, pool: &Pool) {
-        let waits = |id| self.hosts.get(pool).is_some_and(|host| host.pool.waits(id));
+        let waits = |id| self.hosts.get(pool).is_some_and(|host| host.pool.is_waiting(id));
         if id::from_wire(&asked.id).is_some_and(waits) {
             self.tell_queued(entry, asked.id.clone());
         }
--- a/crates/drumusher/src/process/dispatch/host.rs
+++ b/crates/drumusher/src/process/dispatch/host.rs
@@ -113,7 +113,7 @@
     /// Forgets what was kept of requests that ended without a word, with their entry.
     pub(super) fn forget_ended(&mut self) {
         let pool = &self.pool;
-        let is_known = |id: Id| pool.waits(id) || pool.running_request(id).is_some();
+        let is_known = |id: Id| pool.is_waiting(id) || pool.running_request(id).is_some();
         self.trials.keep(is_known);
         for (_, entry) in self.reserved.extract_if(|id, _| !is_known(*id)) {
             self.budget.release(entry);
