--- a/crates/drumusher-schedule/src/order.rs
+++ b/crates/drumusher-schedule/src/order.rs
@@ -85,6 +85,6 @@
         /// Its entry.
         entry: Entry,
         /// Why.
-        stop: Stop,
+        preemption: Stop,
     },
 }
--- a/crates/drumusher-schedule/src/pool/preempt.rs
+++ b/crates/drumusher-schedule/src/pool/preempt.rs
@@ -120,12 +120,12 @@
     }
 
     /// Orders one attempt stopped.
-    pub(super) fn stop(&mut self, key: Key, stop: Stop, orders: &mut Vec<Order>) {
+    pub(super) fn stop(&mut self, key: Key, preemption: Stop, orders: &mut Vec<Order>) {
         let Some(State::Running(running)) = self.asks.get_mut(key.0 as usize) else {
             return;
         };
         running.stopping = true;
-        orders.push(Order::Preempt { id: running.ask.id, entry: running.ask.entry, stop });
+        orders.push(Order::Preempt { id: running.ask.id, entry: running.ask.entry, preemption });
         let (tier, granted) = (running.tier, running.granted);
         if let Some(victims) = self.victims.get_mut(&tier) {
             victims.remove(&(granted, key));
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -136,9 +136,9 @@
             let refuse = peer::Refuse::new(id::to_wire(id), refusal as i16, retry_after as i64);
             (entry, id, Message::Refuse(refuse), why)
         }
-        Order::Preempt { id, entry, stop } => {
-            let why = format!("ordered to stop ({stop:?})");
-            let preempt = peer::Preempt::new(id::to_wire(id), stop as i16);
+        Order::Preempt { id, entry, preemption } => {
+            let why = format!("ordered to stop ({preemption:?})");
+            let preempt = peer::Preempt::new(id::to_wire(id), preemption as i16);
             (entry, id, Message::Preempt(preempt), why)
         }
     }
