--- a/crates/drumusher-schedule/src/ask.rs
+++ b/crates/drumusher-schedule/src/ask.rs
@@ -1,133 +1,137 @@
-//! A request as the dispatcher sees it.
+//! Requests as the dispatcher sees them.
 
 use crate::{policy, server, time::Micros};
 
-/// The identity of a request, unique in the whole system (128 random bits chosen by its entry).
+/// Identifies a request in the whole system: 128 random bits chosen by its entry instance.
 pub type Id = u128;
 
-/// A request's place in the dispatcher's arena.
+/// Index of a request in the dispatcher's slab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u32);
 
-/// The instance that holds the caller's connection, as a small key chosen by the dispatcher's host.
+/// The entry instance, which holds the caller's connection, as a small key chosen by the
+/// dispatcher's host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Entry(pub u32);
 
-/// One part of a prompt. Parts are shared between requests, so that what a backend server keeps of
-/// one request spares work for the next.
+/// One part of a prompt. Requests share parts, so that what a backend server has cached for one
+/// request saves work for the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its identity.
+    /// Identifies the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What an entry tells the dispatcher about a request it wants to run.
+/// A request for a grant, as its entry instance sends it to the dispatcher.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// The request.
+    /// Identifies the request.
     pub id: Id,
-    /// The instance that owns it.
+    /// The entry instance that owns it.
     pub entry: Entry,
-    /// Its class, which gives tier and targets.
+    /// Request class, which determines tier and latency targets.
     pub class: policy::ClassKey,
-    /// The workspace it is charged to.
+    /// Workspace that is charged for it.
     pub workspace: policy::WorkspaceKey,
     /// When the caller's request first arrived.
     pub arrived: Micros,
-    /// Length of the prompt in tokens, as estimated by the entry.
+    /// Prompt length in tokens, as estimated by the entry instance.
     pub prompt: u32,
-    /// Hash of the prompt's beginning, salted by workspace; 0 for none.
+    /// Hash of the start of the prompt, salted by workspace; 0 for none.
     pub prefix: u64,
     /// Tokens already delivered to the caller by earlier attempts.
     pub produced: u32,
-    /// Whether the request may be given to a backend server more than once.
+    /// Whether the request may be sent to a backend server more than once.
     pub repeatable: bool,
-    /// How often it was preempted before.
+    /// Number of earlier preemptions.
     pub preemptions: u8,
-    /// The backend server whose attempt failed last.
+    /// Backend server of the last failed attempt.
     pub avoid: Option<server::Key>,
-    /// Whether another dispatcher was asked before.
+    /// Whether the request was sent to another dispatcher before.
     pub migrated: bool,
-    /// Backend servers beside whose requests it is not to run, if there is another one.
+    /// Anti-affinity: backend servers whose requests it must not run beside, if there is an
+    /// alternative.
     pub anti_affinity: Vec<server::Key>,
-    /// Expected tokens of the answer; 0 if the caller gave no hint.
+    /// Expected output length in tokens; 0 if the caller gave no hint.
     pub output: u32,
-    /// The parts of the prompt in order; empty if the caller did not name them.
+    /// Parts of the prompt in order; empty if the caller did not name them.
     pub parts: Vec<Part>,
 }
 
-/// How an attempt on a backend server ended.
+/// Outcome of an attempt on a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The whole answer was delivered.
     Done,
-    /// The caller went away or the entry gave up; says nothing about the backend server.
+    /// The caller disconnected or the entry instance gave up; says nothing about the backend
+    /// server.
     Cancelled,
-    /// The attempt was stopped by order of the dispatcher.
+    /// The dispatcher preempted the attempt.
     Preempted,
     /// The backend server failed or cut the stream.
     Failed,
-    /// The backend server refused because it takes no more.
+    /// The backend server rejected the request for lack of capacity.
     Overloaded,
-    /// The backend server ran it and answered with an error of its own, rightly or not.
+    /// The backend server ran the request and answered with an error, which may be the request's
+    /// own fault.
     ErrorResponse,
-    /// No connection to the backend server came up: it got nothing.
+    /// No connection to the backend server could be opened, so it received nothing.
     ConnectFailed,
 }
 
-/// A request that waits for its turn.
+/// A request in the queue.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// The ask.
+    /// The request as submitted.
     pub ask: Ask,
-    /// Tier, kept here so that a change of the class does not move a waiting request.
+    /// Tier when the request was queued; a later change of the class does not move it.
     pub tier: u8,
     /// When the first token is due.
     pub deadline: Micros,
     /// When it entered this dispatcher's queue.
     pub since: Micros,
-    /// How long it may wait from then on.
+    /// Longest time in this queue, counted from `since`.
     pub wait: Micros,
-    /// Grants that the pool had given before.
+    /// Number of grants that the pool had given when the request was queued.
     pub grants_before: u64,
 }
 
 /// A request that was granted a backend server.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// The ask.
+    /// The request as submitted.
     pub ask: Ask,
     /// Tier at the time of the grant.
     pub tier: u8,
-    /// Where it runs.
+    /// Backend server on which it runs.
     pub server: server::Key,
     /// When it was granted.
     pub granted: Micros,
-    /// When the entry last reported on it.
-    pub heard: Micros,
-    /// Whether the entry reported that the attempt began.
+    /// When its entry instance last reported on it.
+    pub last_report: Micros,
+    /// Whether the entry instance reported that the attempt began.
     pub started: bool,
-    /// Whether its first token came.
-    pub begun: bool,
-    /// Tokens produced in all.
+    /// Whether its first token has arrived.
+    pub has_first_token: bool,
+    /// Tokens produced by all attempts.
     pub produced: u32,
-    /// Tokens charged to the workspace so far.
+    /// Output tokens charged to the workspace so far.
     pub charged: f64,
-    /// Whether it runs on the capacity reserved for its class, or as a probe.
+    /// Whether it uses the capacity reserved for its class, or is a probe.
     pub reserved: bool,
-    /// Whether an order to stop it is on its way.
+    /// Whether its preemption was ordered and is not confirmed yet.
     pub stopping: bool,
-    /// Whether it was placed as one that bears long pauses.
+    /// Whether it was placed as a delay-tolerant request.
     pub patient: bool,
 }
 
-/// Either state of a request known to the dispatcher.
+/// State of a request that the dispatcher knows.
 #[derive(Clone, Debug)]
 pub enum State {
-    /// It waits.
+    /// In the queue.
     Waiting(Waiting),
-    /// It was granted.
+    /// Granted a backend server.
     Running(Running),
 }
--- a/crates/drumusher-schedule/src/event.rs
+++ b/crates/drumusher-schedule/src/event.rs
@@ -1,4 +1,4 @@
-//! What a pool is told.
+//! Inputs of a pool.
 
 use std::sync::Arc;
 
@@ -12,57 +12,57 @@
 /// A report on a running attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// The request.
+    /// Identifies the request.
     pub id: Id,
-    /// Tokens delivered in all.
+    /// Tokens delivered by all attempts.
     pub produced: u32,
-    /// Time from handing the request over to its first token, once.
+    /// Time from handing the request over to its first token, reported once.
     pub first_token: Option<Micros>,
     /// Mean time between tokens since the last report; 0 if there was none.
     pub gap: Micros,
 }
 
-/// A backend server's own report, which lags.
+/// A backend server's own load report, which arrives with a lag.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     /// The backend server.
     pub server: server::Key,
-    /// When the report was true.
+    /// When the load was measured.
     pub as_of: Micros,
-    /// Requests running in it.
+    /// Requests running on it.
     pub running: u32,
-    /// Requests waiting in it.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// For how long it takes no more, if it said so; 0 if it did not say how long.
+    /// How long it accepts no more requests, if it said so; 0 if it did not say how long.
     pub full: Option<Micros>,
 }
 
-/// Something that happened.
+/// Input that may lead to decisions.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request wants to run.
+    /// A request asks for a grant.
     Ask(Ask),
-    /// An entry declares a grant that another dispatcher gave.
+    /// An entry instance declares a running grant that another dispatcher gave.
     Declare(Ask, server::Key),
-    /// A request no longer wants to run, or moved to another dispatcher.
+    /// A request was cancelled or moved to another dispatcher.
     Withdraw(Id),
     /// A running attempt made progress.
     Progress(Progress),
-    /// An attempt ended; the count is the tokens delivered in all.
+    /// An attempt ended; the count is the tokens delivered by all attempts.
     Finish(Id, Outcome, u32),
-    /// A lagging load report.
+    /// A load report, which arrives with a lag.
     Load(Load),
-    /// An engine told which parts of prompts it keeps.
+    /// An engine reported which prompt parts it has cached.
     CachedParts(server::Key, Vec<u64>),
-    /// A backend server joined or changed.
+    /// A backend server joined or its options changed.
     Server(server::Key, server::Options),
     /// A backend server is leaving or gone: it gets no new work.
     Leave(server::Key),
-    /// A backend server takes so many requests a second from this dispatcher, or as many as it has room for.
+    /// A backend server's rate limit for this dispatcher, in requests per second; `None` lifts it.
     RateLimit(server::Key, Option<f64>),
-    /// A backend server wants nothing from an entry until a time.
+    /// A backend server refuses requests of one entry instance until the given time.
     Cooldown(Entry, server::Key, Micros),
-    /// An entry's process is gone with all its requests.
+    /// The process of an entry instance is gone with all its requests.
     EntryGone(Entry),
     /// A new version of the policy.
     Policy(Arc<Policy>),
--- a/crates/drumusher-schedule/src/lib.rs
+++ b/crates/drumusher-schedule/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decides which request of a pool runs where and when.
+//! Scheduling of one pool: which request runs on which backend server, and when.
 //!
-//! A *pool* is one model or plain service in one availability zone. [`pool::Pool`] holds what one
-//! dispatcher knows of it: the asks that wait, the grants that run and what was learned about each
+//! A *pool* is one model or plain service in one availability zone. [`pool::Pool`] holds the state
+//! that one dispatcher has of it: waiting requests, running grants and what was learned about each
 //! backend server. It takes typed [`event::Event`]s and returns typed [`order::Order`]s.
 //!
 //! The crate has no clock, thread, socket or random source of its own: the caller passes the time
--- a/crates/drumusher-schedule/src/order.rs
+++ b/crates/drumusher-schedule/src/order.rs
@@ -1,4 +1,4 @@
-//! What a pool decides.
+//! Decisions of a pool.
 
 use crate::{
     ask::{Entry, Id},
@@ -9,82 +9,82 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The pool's queue is full and this request was the one to go.
+    /// The pool's queue is full and this request was chosen to make room.
     QueueFull,
     /// It would wait, or has waited, longer than its class allows.
     WaitBound,
-    /// Its workspace is at its own limit.
+    /// Its workspace has as many waiting requests as it may have.
     WorkspaceLimit,
-    /// The pool has no backend server.
+    /// The pool has no usable backend server.
     NoServer,
-    /// It would be a repeat, and the fleet may send no more of them now.
+    /// It would be a retry, and the fleet's retry budget is spent.
     NoRepeat,
-    /// Backend servers ended each time it ran.
+    /// It is quarantined: backend servers crashed whenever it ran.
     HeldBack,
 }
 
-/// Why a request got the backend server it got.
+/// Why a request was placed on its backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// The least loaded one.
+    /// Least loaded.
     LeastLoaded,
-    /// The one that holds the prompt's beginning.
+    /// Has the start of the prompt cached.
     Prefix,
-    /// Capacity set apart for its class.
+    /// Used the capacity reserved for the request's class.
     Floor,
-    /// A trial of a backend server that was slow or down.
+    /// Probe of a backend server that was slow, failing or down.
     Probe,
 }
 
-/// Why an attempt is to be stopped.
+/// Why an attempt is preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum Preemption {
     /// A request of a higher tier would miss its target otherwise.
     HigherTier,
-    /// Its backend server is too slow or silent.
+    /// Its backend server is too slow.
     SlowServer,
 }
 
-/// A decision, addressed to the entry that owns the request.
+/// A decision, addressed to the entry instance that owns the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     /// Run the request on this backend server.
     Grant {
-        /// The request.
+        /// Identifies the request.
         id: Id,
-        /// Its entry.
+        /// Its entry instance.
         entry: Entry,
-        /// Where to run it.
+        /// Backend server to run it on.
         server: server::Key,
-        /// The engine from which it takes over what that one keeps of the prompt.
+        /// Engine from which the cached part of the prompt is transferred.
         source: Option<server::Key>,
-        /// How long its first event is expected to take from now on; 0 if nothing is known.
+        /// Expected time from now to the first event; 0 if unknown.
         expected: Micros,
-        /// Why there.
+        /// Why this backend server was chosen.
         choice: Choice,
-        /// How long it waited at this dispatcher.
+        /// Time spent in this dispatcher's queue.
         waited: Micros,
         /// Grants to other requests while it waited.
         overtaken: u64,
     },
     /// Tell the caller that the request was not run.
     Refuse {
-        /// The request.
+        /// Identifies the request.
         id: Id,
-        /// Its entry.
+        /// Its entry instance.
         entry: Entry,
-        /// Why.
+        /// Why it was refused.
         refusal: Refusal,
-        /// When to come back.
+        /// How long the caller should wait before it tries again.
         retry_after: Micros,
     },
-    /// Stop the attempt and ask again with what was delivered.
+    /// Stop the attempt and submit the request again with the output delivered so far.
     Preempt {
-        /// The request.
+        /// Identifies the request.
         id: Id,
-        /// Its entry.
+        /// Its entry instance.
         entry: Entry,
-        /// Why.
-        preemption: Stop,
+        /// Why it is preempted.
+        preemption: Preemption,
     },
 }
--- a/crates/drumusher-schedule/src/policy.rs
+++ b/crates/drumusher-schedule/src/policy.rs
@@ -1,37 +1,37 @@
-//! What the operators configured, in the form the decisions use.
+//! Scheduling policy: the operators' configuration in the form that decisions use.
 
 use std::collections::BTreeMap;
 
 use crate::time::{MILLISECOND, Micros, SECOND};
 
-/// A class's place in [`Policy::classes`].
+/// Index of a class in [`Policy::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassKey(pub u16);
 
-/// A workspace's place in [`Policy::workspaces`].
+/// Index of a workspace in [`Policy::workspaces`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkspaceKey(pub u16);
 
-/// What a policy says of its tiers, made once for each policy.
+/// Summary of a policy's tiers, computed once for each policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tiers {
     /// The highest tier of any class.
     pub highest: u8,
-    /// The longest wait that a class of each tier allows.
+    /// Longest `wait` of the classes of each tier.
     waits: BTreeMap<u8, Micros>,
 }
 
 impl Tiers {
-    /// The longest wait that a class of a tier allows.
+    /// The longest wait that any class of a tier allows.
     pub fn longest_wait(&self, tier: u8) -> Option<Micros> {
         self.waits.get(&tier).copied()
     }
 }
 
-/// A request class: latency targets, priority and bounds.
+/// A request class: latency targets, priority and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Name, for explanations only.
+    /// Name, for diagnostics only.
     pub name: String,
     /// Priority; 0 is the highest.
     pub tier: u8,
@@ -41,9 +41,9 @@
     pub token_gap: Micros,
     /// Longest time a request may wait before it is refused.
     pub wait: Micros,
-    /// One token in this many is set apart for the class when it waits; 0 for none.
+    /// One token in this many is reserved for the class while it has waiting requests; 0 for none.
     pub floor_every: u32,
-    /// Waiting places of the class that no other class can take.
+    /// Queue slots reserved for the class.
     pub floor_queue: usize,
 }
 
@@ -67,13 +67,13 @@
         self
     }
 
-    /// Sets the bound on waiting.
+    /// Sets the longest wait.
     pub fn with_wait(mut self, wait: Micros) -> Self {
         self.wait = wait;
         self
     }
 
-    /// Sets the share of tokens set apart.
+    /// Sets the share of tokens reserved for the class.
     pub fn with_floor_every(mut self, floor_every: u32) -> Self {
         self.floor_every = floor_every;
         self
@@ -83,15 +83,15 @@
 /// A workspace: its share and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// Name, for explanations only.
+    /// Name, for diagnostics only.
     pub name: String,
     /// Share relative to other workspaces of the same tier.
     pub weight: f64,
-    /// Most requests running at once in a pool; 0 for no limit.
+    /// Maximum requests running at once in a pool; 0 for no limit.
     pub concurrency: u32,
-    /// Tokens a second over all its requests in a pool; 0 for no limit.
+    /// Tokens per second over all its requests in a pool; 0 for no limit.
     pub tokens_per_second: u32,
-    /// Most requests waiting at once in a pool; 0 for no limit.
+    /// Maximum requests waiting at once in a pool; 0 for no limit.
     pub queue: u32,
 }
 
@@ -102,49 +102,51 @@
     }
 }
 
-/// Mechanisms that can be switched off, for measuring what each is worth.
+/// Scheduling mechanisms that can be disabled, to measure what each contributes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Switches {
     /// Strict tiers; otherwise all requests are of one tier.
     pub tiers: bool,
-    /// Fair shares between workspaces; otherwise earliest deadline over all.
+    /// Fair shares between workspaces; otherwise earliest deadline first over all of them.
     pub fairness: bool,
-    /// Deadlines with the late set apart; otherwise order of arrival.
+    /// Earliest deadline first among requests that can still meet theirs; otherwise order of
+    /// arrival.
     pub deadlines: bool,
     /// Preemption of lower tiers.
     pub preemption: bool,
-    /// Health learned from own streams.
+    /// Server health learned from this dispatcher's own streams.
     pub learning: bool,
-    /// Windows learned from own streams; otherwise they are as configured.
+    /// Concurrency windows learned from this dispatcher's own streams; otherwise as configured.
     pub windows: bool,
-    /// Preference for the backend server that holds the prefix.
+    /// Preference for the backend server that has the prefix cached.
     pub affinity: bool,
-    /// Refusal of requests that would wait beyond their bound.
+    /// Refusal of requests that would wait longer than their class allows.
     pub shedding: bool,
-    /// The grants set apart for each class.
+    /// Capacity reserved for each class.
     pub floor: bool,
-    /// Parts of a prompt taken over from another engine.
+    /// Transfer of cached prompt parts from another engine.
     pub sources: bool,
-    /// The border between patient and pressing requests.
+    /// Partition of the engines between delay-tolerant and delay-sensitive requests.
     pub sides: bool,
-    /// Patient prompts that are read soon do no harm beside pressing streams.
+    /// A delay-tolerant prompt that is prefilled soon counts as harmless to the delay-sensitive
+    /// streams beside it.
     pub harm: bool,
-    /// Entries are told how long a first event is expected to take.
+    /// Grants tell entry instances how long the first event is expected to take.
     pub expected: bool,
-    /// A prompt that no engine keeps goes to the engine that all dispatchers would choose.
+    /// A prompt that no engine has cached goes to the engine that all dispatchers would choose.
     pub usual_engine: bool,
-    /// Backend servers with long pauses are relieved.
+    /// Backend servers with long token gaps are relieved of requests.
     pub slow: bool,
-    /// Backend servers that fail far more than the others are relieved.
+    /// Backend servers that fail far more often than the others are relieved of requests.
     pub outliers: bool,
 }
 
-/// There is no switch of this name.
+/// No switch has the given name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownSwitch;
 
 impl Switches {
-    /// The names of the switches, as operators write them.
+    /// Names of the switches as operators write them.
     pub const NAMES: [&str; 16] = [
         "tiers",
         "fairness",
@@ -164,7 +166,7 @@
         "outliers",
     ];
 
-    /// Switches a mechanism off.
+    /// Disables a mechanism.
     ///
     /// # Errors
     ///
@@ -217,27 +219,27 @@
     }
 }
 
-/// One immutable version of the policy of a pool.
+/// One immutable version of a pool's policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// Classes by [`ClassKey`].
     pub classes: Vec<Class>,
     /// Workspaces by [`WorkspaceKey`].
     pub workspaces: Vec<Workspace>,
-    /// Most requests waiting in the pool.
+    /// Maximum requests waiting in the pool.
     pub queue: usize,
-    /// Most preemptions of one request.
+    /// Maximum preemptions of one request.
     pub preemptions: u8,
     /// How long a new dispatcher neither refuses nor preempts.
     pub settle: Micros,
-    /// How long a grant is held for an entry that does not report a start.
+    /// How long a grant is held for an entry instance that does not report a start.
     pub grant_expiry: Micros,
-    /// Mechanisms in use.
+    /// Enabled mechanisms.
     pub switches: Switches,
 }
 
 impl Policy {
-    /// A policy with the given classes and workspaces and default bounds.
+    /// A policy with the given classes and workspaces and default limits.
     pub fn new(classes: Vec<Class>, workspaces: Vec<Workspace>) -> Self {
         Policy {
             classes,
@@ -250,7 +252,7 @@
         }
     }
 
-    /// The tier of a class; all are of tier 0 when tiers are switched off.
+    /// The tier of a class; all are of tier 0 when tiers are disabled.
     pub fn tier(&self, class: ClassKey) -> u8 {
         if !self.switches.tiers {
             return 0;
@@ -258,7 +260,7 @@
         self.class(class).tier
     }
 
-    /// What is to be known of its tiers at each decision.
+    /// Computes the summary of the tiers that each decision needs.
     pub fn tiers(&self) -> Tiers {
         let mut waits = BTreeMap::new();
         for class in &self.classes {
@@ -269,7 +271,8 @@
         Tiers { highest: waits.keys().next().copied().unwrap_or(0), waits }
     }
 
-    /// A class. Unknown keys yield the last class, so that a racing removal cannot crash.
+    /// A class. An unknown key yields the last class, so that a concurrent removal cannot cause a
+    /// panic.
     pub fn class(&self, key: ClassKey) -> &Class {
         let last = self.classes.len() - 1;
         &self.classes[usize::from(key.0).min(last)]
@@ -285,7 +288,7 @@
         self.workspace(key).map_or(1.0, |w| w.weight.max(0.001))
     }
 
-    /// The tightest target between tokens over all classes.
+    /// The smallest token gap target of all classes.
     pub fn tightest_gap(&self) -> Micros {
         let gaps = self.classes.iter().map(|c| c.token_gap).filter(|gap| *gap > 0);
         gaps.min().unwrap_or(45 * MILLISECOND)
--- a/crates/drumusher-schedule/src/pool/health.rs
+++ b/crates/drumusher-schedule/src/pool/health.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::{
     ask::{Key, State},
-    order::{Order, Stop},
+    order::{Order, Preemption},
     outlier,
     server::{Health, Kind, Usual},
     time::Micros,
@@ -69,7 +69,7 @@
         let mut attempts: Vec<(u8, Key)> = self.asks.iter().filter_map(movable).collect();
         attempts.sort();
         for (_, key) in attempts.into_iter().take(room) {
-            self.stop(key, Stop::SlowServer, orders);
+            self.stop(key, Preemption::SlowServer, orders);
         }
     }
 
--- a/crates/drumusher-schedule/src/pool/preempt.rs
+++ b/crates/drumusher-schedule/src/pool/preempt.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::{
     ask::{Id, Key, Running, State},
-    order::{Order, Stop},
+    order::{Order, Preemption},
     server::{self, Server},
     time::Micros,
 };
@@ -31,7 +31,7 @@
             let Some(key) = self.victim_below(tier) else {
                 return;
             };
-            self.stop(key, Stop::HigherTier, orders);
+            self.stop(key, Preemption::HigherTier, orders);
         }
     }
 
@@ -71,7 +71,7 @@
                 server.relieve(now);
             }
             for key in victims {
-                self.stop(key, Stop::HigherTier, orders);
+                self.stop(key, Preemption::HigherTier, orders);
             }
         }
     }
@@ -88,7 +88,10 @@
         let late = |running: &&Running| {
             let target = self.policy.class(running.ask.class).first_token;
             let at_risk = now + target / 2 > running.ask.arrived + target;
-            running.server == server && !running.begun && running.granted <= as_of && at_risk
+            running.server == server
+                && !running.has_first_token
+                && running.granted <= as_of
+                && at_risk
         };
         let late: Vec<u8> = self.iter_running().filter(late).map(|running| running.tier).collect();
         let Some(tier) = late.iter().min().copied() else {
@@ -98,7 +101,7 @@
         let lower = self.victims.range(tier + 1..).rev();
         let latest = lower.flat_map(|(_, victims)| victims.iter().rev()).map(|(_, key)| *key);
         let holds_place = |key: &Key| match self.asks.get(key.0 as usize) {
-            Some(State::Running(running)) => running.server == server && running.begun,
+            Some(State::Running(running)) => running.server == server && running.has_first_token,
             _ => false,
         };
         latest.filter(holds_place).take(needed).collect()
@@ -120,7 +123,7 @@
     }
 
     /// Orders one attempt stopped.
-    pub(super) fn stop(&mut self, key: Key, preemption: Stop, orders: &mut Vec<Order>) {
+    pub(super) fn stop(&mut self, key: Key, preemption: Preemption, orders: &mut Vec<Order>) {
         let Some(State::Running(running)) = self.asks.get_mut(key.0 as usize) else {
             return;
         };
@@ -139,7 +142,7 @@
         let silent = |state: &State| match state {
             State::Running(r) => {
                 let most = if r.started { super::SILENCE } else { expiry };
-                (now > r.heard + most).then_some(r.ask.id)
+                (now > r.last_report + most).then_some(r.ask.id)
             }
             State::Waiting(_) => None,
         };
--- a/crates/drumusher-schedule/src/pool/track.rs
+++ b/crates/drumusher-schedule/src/pool/track.rs
@@ -34,7 +34,7 @@
             return;
         };
         running.started = true;
-        running.begun = running.produced > 0;
+        running.has_first_token = running.produced > 0;
         if running.produced > 0
             && let Some(server) = self.server(server)
         {
@@ -59,11 +59,11 @@
         let Some((_, running)) = self.running_of(progress.id) else {
             return;
         };
-        running.heard = now;
+        running.last_report = now;
         running.started = true;
         let new = progress.produced.saturating_sub(running.produced);
         running.produced = running.produced.max(progress.produced);
-        running.begun |= new > 0 || progress.first_token.is_some();
+        running.has_first_token |= new > 0 || progress.first_token.is_some();
         let own = f64::from(running.produced - running.ask.produced);
         let beyond = (own - running.charged).max(0.0);
         running.charged += beyond;
--- a/crates/drumusher-schedule/src/time.rs
+++ b/crates/drumusher-schedule/src/time.rs
@@ -1,6 +1,6 @@
-//! Time as the caller tells it.
+//! Time as passed in by the caller.
 
-/// Microseconds since an arbitrary but fixed moment chosen by the caller, or a length of time.
+/// Microseconds since an arbitrary but fixed moment chosen by the caller, or a duration.
 pub type Micros = u64;
 
 /// Microseconds in one millisecond.
