--- a/crates/drumusher-schedule/src/rank.rs
+++ b/crates/drumusher-schedule/src/rank.rs
@@ -1,26 +1,27 @@
-//! Highest-random-weight ranking: which instance has a role, such as the dispatcher of a pool.
+//! Rendezvous (highest-random-weight) hashing: which instance has a role, such as the dispatcher of
+//! a pool.
 //!
-//! Instances with more processor time are preferred: a role is work for all others, and one that has
-//! it on an eighth of a core answers late while its neighbour on half a core is idle. Among
-//! instances of the same capacity every one is as likely as any other.
+//! Instances with more processor time are preferred: a role is work on behalf of all others, and an
+//! instance that has it on an eighth of a core answers late while its neighbour on half a core is
+//! idle. Instances of the same capacity are equally likely.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How much an instance with more processor time is preferred: one with twice as much has eight times
-/// the chance. With 8 instances of half a core beside 53 of an eighth, a role is on one of the 8 with
-/// a chance of nine in ten.
-const PREFERENCE: i32 = 3;
-/// The capacity of an instance of which none is known: one core.
+/// Exponent of the capacity in an instance's weight: one with twice the processor time is eight
+/// times as likely. With 8 instances of half a core beside 53 of an eighth, a role is on one of the
+/// 8 with a probability of nine in ten.
+const CAPACITY_EXPONENT: i32 = 3;
+/// Assumed capacity of an instance whose capacity is unknown: one core, in thousandths of a core.
 pub const DEFAULT_CAPACITY: u32 = 1_000;
-/// Bits of a random number that a fraction holds without rounding.
+/// Bits of a random number that an `f64` fraction represents without rounding.
 const FRACTION_BITS: u32 = 53;
 
-/// One that may be chosen.
+/// An instance that may get a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Name of the instance.
     pub name: &'a str,
-    /// Its processor time, in thousandths of a core.
+    /// Processor time, in thousandths of a core.
     pub capacity: u32,
 }
 
@@ -31,17 +32,18 @@
 }
 
 impl Candidate<'_> {
-    /// What decides its place for `role`; the smallest is first. The logarithm of a random fraction
-    /// over a weight makes the chance of being first proportional to that weight.
-    fn distance(&self, role: &str) -> f64 {
+    /// Sort key of the candidate for `role`; the smallest is first. Dividing the negative logarithm
+    /// of a uniform random fraction by a weight makes the probability of being first proportional
+    /// to that weight.
+    fn sort_key(&self, role: &str) -> f64 {
         let random = (weight(role, self.name) >> (u64::BITS - FRACTION_BITS)) + 1;
         let fraction = random as f64 / (1_u64 << FRACTION_BITS) as f64;
         let capacity = f64::from(self.capacity.max(1)) / f64::from(DEFAULT_CAPACITY);
-        -fraction.ln() / capacity.powi(PREFERENCE)
+        -fraction.ln() / capacity.powi(CAPACITY_EXPONENT)
     }
 }
 
-/// The weight of `name` for `role`. All instances compute the same one.
+/// The hash of `name` for `role`. All instances compute the same one.
 pub fn weight(role: &str, name: &str) -> u64 {
     let seed = xxh3_64_with_seed(role.as_bytes(), 0);
     xxh3_64_with_seed(name.as_bytes(), seed)
@@ -55,14 +57,14 @@
     order(role, candidates).into_iter().next()
 }
 
-/// All candidates, the first one for `role` first.
+/// All candidates in their order for `role`.
 pub fn order<'a, C>(role: &str, candidates: impl IntoIterator<Item = C>) -> Vec<&'a str>
 where
     C: Into<Candidate<'a>>,
 {
     let candidates = candidates.into_iter().map(Into::into);
-    let placed = candidates.map(|candidate| (candidate.distance(role), candidate.name));
-    let mut placed: Vec<(f64, &str)> = placed.collect();
-    placed.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
-    placed.into_iter().map(|(_, name)| name).collect()
+    let keyed = candidates.map(|candidate| (candidate.sort_key(role), candidate.name));
+    let mut keyed: Vec<(f64, &str)> = keyed.collect();
+    keyed.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
+    keyed.into_iter().map(|(_, name)| name).collect()
 }
--- a/crates/drumusher-schedule/src/retry.rs
+++ b/crates/drumusher-schedule/src/retry.rs
@@ -2,23 +2,24 @@
 
 use crate::time::{MILLISECOND, Micros};
 
-/// A budget that lets retries be at most a share of first attempts.
+/// A token bucket that limits retries to a share of first attempts.
 #[derive(Clone, Debug)]
 pub struct Budget {
     share: f64,
-    most: f64,
+    capacity: f64,
     balance: f64,
 }
 
 impl Budget {
-    /// A budget of `share` retries for each first attempt, holding at most `most`.
-    pub fn new(share: f64, most: f64) -> Self {
-        Budget { share, most, balance: most }
+    /// A full budget of `share` retries for each first attempt that holds at most `capacity`
+    /// retries.
+    pub fn new(share: f64, capacity: f64) -> Self {
+        Budget { share, capacity, balance: capacity }
     }
 
-    /// Counts a first attempt.
+    /// Credits the budget for a first attempt.
     pub fn earn(&mut self) {
-        self.balance = (self.balance + self.share).min(self.most);
+        self.balance = (self.balance + self.share).min(self.capacity);
     }
 
     /// Takes one retry from the budget; `false` if it is spent.
@@ -36,7 +37,8 @@
 /// The longest backoff.
 pub const BACKOFF_CAP: Micros = 1_000 * MILLISECOND;
 
-/// Decorrelated backoff: the next pause after `previous`, from a uniform `random` in `0.0..1.0`.
+/// Backoff with decorrelated jitter: the next pause after `previous`, from a uniform `random` in
+/// `0.0..1.0`.
 pub fn backoff(previous: Micros, random: f64) -> Micros {
     let upper = (previous.max(BACKOFF_BASE) * 3) as f64;
     let span = upper - BACKOFF_BASE as f64;
