--- a/crates/drumusher-schedule/src/length.rs
+++ b/crates/drumusher-schedule/src/length.rs
@@ -1,4 +1,4 @@
-//! Estimates of output length, which is unknown until a request ends.
+//! Estimates of the output length, which is unknown until a request ends.
 
 use std::collections::HashMap;
 
@@ -6,31 +6,31 @@
 
 use crate::policy::{ClassKey, WorkspaceKey};
 
-/// Longest output that is told apart, in tokens.
-const LONGEST: u64 = 131_072;
-/// Fewest samples before a workspace's own histogram is used.
-const ENOUGH: u64 = 32;
-/// Assumed output length in tokens before anything was seen.
-const UNSEEN: u32 = 128;
+/// Upper bound of the histograms, in tokens.
+const MAX_LENGTH: u64 = 131_072;
+/// Minimum samples before a workspace's own histogram is used.
+const MIN_SAMPLES: u64 = 32;
+/// Assumed output length in tokens before any sample.
+const DEFAULT_LENGTH: u32 = 128;
 
-/// Output lengths seen per class and per class and workspace.
+/// Histograms of output lengths, by class and by class and workspace.
 #[derive(Debug, Default)]
-pub struct Estimate {
+pub struct Estimator {
     by_class: HashMap<ClassKey, Histogram<u32>>,
     by_workspace: HashMap<(ClassKey, WorkspaceKey), Histogram<u32>>,
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, LONGEST, 1).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_LENGTH, 1).expect("the bounds are valid")
 }
 
-impl Estimate {
-    /// An estimate that has seen nothing.
+impl Estimator {
+    /// An estimator without samples.
     pub fn new() -> Self {
-        Estimate::default()
+        Estimator::default()
     }
 
-    /// Learns the output length of a finished request.
+    /// Records the output length of a finished request.
     pub fn record(&mut self, class: ClassKey, workspace: WorkspaceKey, tokens: u32) {
         let tokens = u64::from(tokens.max(1));
         let of_class = self.by_class.entry(class).or_insert_with(histogram);
@@ -39,20 +39,21 @@
         of_workspace.saturating_record(tokens);
     }
 
-    /// The expected number of tokens still to come for a request that produced `produced`.
+    /// Expected remaining tokens of a request that has produced `produced`: the median of the
+    /// longer outputs.
     pub fn remaining(&self, class: ClassKey, workspace: WorkspaceKey, produced: u32) -> u32 {
-        let own = self.by_workspace.get(&(class, workspace)).filter(|h| h.len() >= ENOUGH);
+        let own = self.by_workspace.get(&(class, workspace)).filter(|h| h.len() >= MIN_SAMPLES);
         let Some(histogram) = own.or_else(|| self.by_class.get(&class)) else {
-            return UNSEEN;
+            return DEFAULT_LENGTH;
         };
         let produced = u64::from(produced);
         let shorter = histogram.count_between(0, produced);
         let longer = histogram.len().saturating_sub(shorter);
         if longer == 0 {
-            return UNSEEN;
+            return DEFAULT_LENGTH;
         }
-        let middle = (shorter as f64 + longer as f64 / 2.0) / histogram.len() as f64;
-        let median = histogram.value_at_quantile(middle.min(1.0));
+        let quantile = (shorter as f64 + longer as f64 / 2.0) / histogram.len() as f64;
+        let median = histogram.value_at_quantile(quantile.min(1.0));
         median.saturating_sub(produced).max(1) as u32
     }
 }
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -21,7 +21,7 @@
 use crate::{
     ask::{Ask, Entry, Id, Key, Running, State, Waiting},
     event::Event,
-    length::Estimate,
+    length::Estimator,
     order::Order,
     policy::{ClassKey, Policy, Tiers},
     queue::{Place, Queue},
@@ -54,7 +54,7 @@
     ids: HashMap<Id, Key>,
     queue: Queue,
     share: Share,
-    lengths: Estimate,
+    lengths: Estimator,
     servers: Vec<Option<Server>>,
     /// Backend servers that want a rest from an entry.
     rests: Rests,
@@ -95,7 +95,7 @@
             ids: HashMap::new(),
             queue: Queue::new(),
             share: Share::new(),
-            lengths: Estimate::new(),
+            lengths: Estimator::new(),
             servers: Vec::new(),
             rests: Rests::default(),
             passed_over: BTreeSet::new(),
--- a/crates/drumusher-schedule/src/pool/health.rs
+++ b/crates/drumusher-schedule/src/pool/health.rs
@@ -81,15 +81,15 @@
         }
         let serving = self.servers().filter(|(_, server)| !server.leaving());
         let (mut all, mut outliers) = (0, 0);
-        let mut shares = Vec::new();
+        let mut rates = Vec::new();
         for (_, server) in serving {
             all += 1;
             outliers += usize::from(matches!(server.health(), Health::Erring(_)));
-            shares.extend(server.failure_rate(now));
+            rates.extend(server.failure_rate(now));
         }
-        let median = outlier::median(shares.into_iter());
+        let median = outlier::median(rates.into_iter());
         for server in self.servers.iter_mut().flatten() {
-            let spare = outliers < all / outlier::MOST_PART;
+            let spare = outliers < all / outlier::MIN_SERVERS_PER_OUTLIER;
             let before = server.health();
             server.compare(now, median, spare);
             outliers += usize::from(before == Health::Good && server.health() != before);
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -18,7 +18,7 @@
 use crate::{
     ask::Outcome,
     engine::Engine,
-    outlier::Tally,
+    outlier::Detector,
     time::{MILLISECOND, Micros, SECOND},
 };
 
@@ -81,7 +81,7 @@
     prefixes: HashMap<u64, Micros>,
     /// What is believed of it as an engine.
     engine: Engine,
-    tally: Tally,
+    outlier_detector: Detector,
     /// The kind of streams in which it was found slow last.
     slow_in: Kind,
     /// By [`Kind`].
@@ -113,7 +113,7 @@
             ceiling: None,
             prefixes: HashMap::new(),
             engine: Engine::new(),
-            tally: Tally::new(),
+            outlier_detector: Detector::new(),
             slow_in: Kind::Pressing,
             paces: Default::default(),
         }
@@ -251,7 +251,7 @@
         }
         match outcome {
             Outcome::Done | Outcome::Failed | Outcome::ErrorResponse | Outcome::ConnectFailed => {
-                self.tally.note(now, outcome != Outcome::Done);
+                self.outlier_detector.record(now, outcome != Outcome::Done);
             }
             Outcome::Cancelled | Outcome::Preempted | Outcome::Overloaded => {}
         }
--- a/crates/drumusher-schedule/src/server/health.rs
+++ b/crates/drumusher-schedule/src/server/health.rs
@@ -6,7 +6,7 @@
     pace::{Kind, Usual},
 };
 use crate::{
-    outlier::Tally,
+    outlier::Detector,
     time::{MILLISECOND, Micros, SECOND},
 };
 
@@ -140,19 +140,19 @@
 
     /// The share of requests that failed lately, when there were enough.
     pub fn failure_rate(&self, now: Micros) -> Option<f64> {
-        self.tally.share(now)
+        self.outlier_detector.failure_rate(now)
     }
 
     /// Compares it with the pool's median share of failures; `spare` tells whether the pool can do
     /// without it.
     pub fn compare(&mut self, now: Micros, median: f64, spare: bool) {
         match self.health {
-            Health::Good if spare && self.tally.stands_out(now, median) => {
+            Health::Good if spare && self.outlier_detector.is_outlier(now, median) => {
                 self.health = Health::Erring(now + PROBE_PAUSE);
             }
-            Health::Erring(_) if self.tally.passed() => {
+            Health::Erring(_) if self.outlier_detector.has_recovered() => {
                 self.health = Health::Good;
-                self.tally = Tally::new();
+                self.outlier_detector = Detector::new();
             }
             _ => {}
         }
