--- a/crates/drumusher-bench/src/policy/simulation.rs
+++ b/crates/drumusher-bench/src/policy/simulation.rs
@@ -298,8 +298,8 @@
             repeatable: true,
             preemptions: self.preempted[number],
             avoid: self.avoid[number],
-            moved: false,
-            apart: Vec::new(),
+            migrated: false,
+            anti_affinity: Vec::new(),
             output: 0,
             parts: Vec::new(),
         };
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -21,12 +21,12 @@
 use crate::{
     ask::{Ask, Entry, Id, Key, Running, State, Waiting},
     event::Event,
-    length::Estimate,
+    length::Estimator,
     order::Order,
     policy::{ClassKey, Policy, Tiers},
-    queue::{Place, Queue},
+    queue::{Position, Queue},
     server::{self, Server},
-    share::Share,
+    share::FairShare,
     side::Border,
     time::{MILLISECOND, Micros, SECOND},
 };
@@ -53,8 +53,8 @@
     asks: Slab<State>,
     ids: HashMap<Id, Key>,
     queue: Queue,
-    share: Share,
-    lengths: Estimate,
+    share: FairShare,
+    lengths: Estimator,
     servers: Vec<Option<Server>>,
     /// Backend servers that want a rest from an entry.
     rests: Rests,
@@ -94,8 +94,8 @@
             asks: Slab::new(),
             ids: HashMap::new(),
             queue: Queue::new(),
-            share: Share::new(),
-            lengths: Estimate::new(),
+            share: FairShare::new(),
+            lengths: Estimator::new(),
             servers: Vec::new(),
             rests: Rests::default(),
             passed_over: BTreeSet::new(),
@@ -122,19 +122,19 @@
             Event::Progress(progress) => self.progress(now, progress),
             Event::Finish(id, outcome, produced) => self.finish(now, id, outcome, produced),
             Event::Load(load) => self.report(now, &load),
-            Event::Kept(key, parts) => {
+            Event::CachedParts(key, parts) => {
                 if let Some(server) = self.server(key) {
                     server.engine_mut().keep(now, &parts);
                 }
             }
             Event::Server(key, options) => self.join(key, options),
             Event::Leave(key) => self.leave(key),
-            Event::Limit(key, per_second) => {
+            Event::RateLimit(key, per_second) => {
                 if let Some(server) = self.server(key) {
                     server.limit(now, per_second);
                 }
             }
-            Event::Rest(entry, key, until) => self.rest(entry, key, until),
+            Event::Cooldown(entry, key, until) => self.rest(entry, key, until),
             Event::EntryGone(entry) => self.entry_gone(now, entry),
             Event::Policy(policy) => self.adopt(policy),
             Event::Tick => self.tick(now, orders),
@@ -149,7 +149,7 @@
     }
 
     /// Whether a request waits.
-    pub fn waits(&self, id: Id) -> bool {
+    pub fn is_waiting(&self, id: Id) -> bool {
         self.ids.get(&id).is_some_and(|key| self.waiting_at(*key).is_some())
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// The requests that wait.
-    pub fn each_waiting(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter_waiting(&self) -> impl Iterator<Item = &Waiting> {
         self.asks.iter().filter_map(|(_, state)| match state {
             State::Waiting(waiting) => Some(waiting),
             State::Running(_) => None,
@@ -176,7 +176,7 @@
     }
 
     /// The requests that run.
-    pub fn each_running(&self) -> impl Iterator<Item = &Running> {
+    pub fn iter_running(&self) -> impl Iterator<Item = &Running> {
         self.asks.iter().filter_map(|(_, state)| match state {
             State::Running(running) => Some(running),
             State::Waiting(_) => None,
@@ -259,7 +259,7 @@
     /// Begins to serve the requests of another dispatcher. Reports from before now show its grants,
     /// which are not the work of others: entries declare those that still run.
     fn take_over(&mut self, now: Micros, ask: &Ask) {
-        if !ask.moved || !self.asks.is_empty() {
+        if !ask.migrated || !self.asks.is_empty() {
             return;
         }
         self.taken_over = now;
@@ -348,7 +348,7 @@
         self.expiry.remove(&(self.expires(&waiting), key));
         self.ids.remove(&waiting.ask.id);
         self.share.usage(place.workspace).waiting -= 1;
-        if !self.queue.has(place.tier, place.workspace) {
+        if !self.queue.contains(place.tier, place.workspace) {
             self.share.deactivate(place.tier, place.workspace);
         }
         Some(waiting)
@@ -359,8 +359,8 @@
     }
 }
 
-fn place(waiting: &Waiting) -> Place {
-    Place {
+fn place(waiting: &Waiting) -> Position {
+    Position {
         tier: waiting.tier,
         workspace: waiting.ask.workspace,
         class: waiting.ask.class,
--- a/crates/drumusher-schedule/src/pool/preempt.rs
+++ b/crates/drumusher-schedule/src/pool/preempt.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::{
     ask::{Id, Key, Running, State},
-    order::{Order, Stop},
+    order::{Order, Preemption},
     server::{self, Server},
     time::Micros,
 };
@@ -31,7 +31,7 @@
             let Some(key) = self.victim_below(tier) else {
                 return;
             };
-            self.stop(key, Stop::HigherTier, orders);
+            self.stop(key, Preemption::HigherTier, orders);
         }
     }
 
@@ -39,7 +39,7 @@
     /// freed at the measured rate.
     fn at_risk(&self, now: Micros, tier: u8) -> usize {
         let of_tier = self.queue.classes().filter(|class| self.policy.tier(*class) == tier);
-        let waiting = of_tier.flat_map(|class| self.queue.oldest(class).take(LOOK));
+        let waiting = of_tier.flat_map(|class| self.queue.by_arrival(class).take(LOOK));
         let at_risk = waiting.enumerate().filter(|(ahead, key)| {
             let wait = self.predicted_wait(ahead + 1);
             let waiting = self.waiting_at(*key);
@@ -71,7 +71,7 @@
                 server.relieve(now);
             }
             for key in victims {
-                self.stop(key, Stop::HigherTier, orders);
+                self.stop(key, Preemption::HigherTier, orders);
             }
         }
     }
@@ -88,9 +88,12 @@
         let late = |running: &&Running| {
             let target = self.policy.class(running.ask.class).first_token;
             let at_risk = now + target / 2 > running.ask.arrived + target;
-            running.server == server && !running.begun && running.granted <= as_of && at_risk
+            running.server == server
+                && !running.has_first_token
+                && running.granted <= as_of
+                && at_risk
         };
-        let late: Vec<u8> = self.each_running().filter(late).map(|running| running.tier).collect();
+        let late: Vec<u8> = self.iter_running().filter(late).map(|running| running.tier).collect();
         let Some(tier) = late.iter().min().copied() else {
             return Vec::new();
         };
@@ -98,7 +101,7 @@
         let lower = self.victims.range(tier + 1..).rev();
         let latest = lower.flat_map(|(_, victims)| victims.iter().rev()).map(|(_, key)| *key);
         let holds_place = |key: &Key| match self.asks.get(key.0 as usize) {
-            Some(State::Running(running)) => running.server == server && running.begun,
+            Some(State::Running(running)) => running.server == server && running.has_first_token,
             _ => false,
         };
         latest.filter(holds_place).take(needed).collect()
@@ -120,12 +123,12 @@
     }
 
     /// Orders one attempt stopped.
-    pub(super) fn stop(&mut self, key: Key, stop: Stop, orders: &mut Vec<Order>) {
+    pub(super) fn stop(&mut self, key: Key, preemption: Preemption, orders: &mut Vec<Order>) {
         let Some(State::Running(running)) = self.asks.get_mut(key.0 as usize) else {
             return;
         };
         running.stopping = true;
-        orders.push(Order::Preempt { id: running.ask.id, entry: running.ask.entry, stop });
+        orders.push(Order::Preempt { id: running.ask.id, entry: running.ask.entry, preemption });
         let (tier, granted) = (running.tier, running.granted);
         if let Some(victims) = self.victims.get_mut(&tier) {
             victims.remove(&(granted, key));
@@ -139,7 +142,7 @@
         let silent = |state: &State| match state {
             State::Running(r) => {
                 let most = if r.started { super::SILENCE } else { expiry };
-                (now > r.heard + most).then_some(r.ask.id)
+                (now > r.last_report + most).then_some(r.ask.id)
             }
             State::Waiting(_) => None,
         };
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -18,7 +18,7 @@
 use crate::{
     ask::Outcome,
     engine::Engine,
-    outlier::Tally,
+    outlier::Detector,
     time::{MILLISECOND, Micros, SECOND},
 };
 
@@ -81,7 +81,7 @@
     prefixes: HashMap<u64, Micros>,
     /// What is believed of it as an engine.
     engine: Engine,
-    tally: Tally,
+    outlier_detector: Detector,
     /// The kind of streams in which it was found slow last.
     slow_in: Kind,
     /// By [`Kind`].
@@ -113,7 +113,7 @@
             ceiling: None,
             prefixes: HashMap::new(),
             engine: Engine::new(),
-            tally: Tally::new(),
+            outlier_detector: Detector::new(),
             slow_in: Kind::Pressing,
             paces: Default::default(),
         }
@@ -177,7 +177,7 @@
     }
 
     /// Mean time between tokens in microseconds, when enough was seen.
-    pub fn known_gap(&self) -> Option<f64> {
+    pub fn measured_gap(&self) -> Option<f64> {
         (self.gap_samples >= ENOUGH_SAMPLES).then_some(self.gap)
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Mean time between tokens in microseconds, of however few samples.
-    pub fn seen_gap(&self) -> Option<f64> {
+    pub fn estimated_gap(&self) -> Option<f64> {
         (self.gap_samples > 0).then_some(self.gap)
     }
 
@@ -203,7 +203,7 @@
     /// of which nothing was seen is taken for as fast as the others, `usual` between tokens.
     pub fn cost(&self, prompt: u32, prefix: u64, usual: f64) -> f64 {
         let occupied = f64::from(self.running + self.foreign);
-        let step = self.seen_gap().unwrap_or(usual).max(MILLISECOND as f64);
+        let step = self.estimated_gap().unwrap_or(usual).max(MILLISECOND as f64);
         let prompt_time = if self.holds(prefix) { 0.0 } else { f64::from(prompt) * PROMPT_TOKEN };
         step * (1.0 + 4.0 * occupied / self.limit.max(1.0)) + prompt_time
     }
@@ -245,21 +245,21 @@
     pub fn end(&mut self, now: Micros, granted: Micros, outcome: Outcome) {
         self.running = self.running.saturating_sub(1);
         self.note(now);
-        let failed = matches!(outcome, Outcome::Failed | Outcome::Unreached);
+        let failed = matches!(outcome, Outcome::Failed | Outcome::ConnectFailed);
         if failed && self.is_part_of_outage(granted) {
             return;
         }
         match outcome {
-            Outcome::Done | Outcome::Failed | Outcome::Erred | Outcome::Unreached => {
-                self.tally.note(now, outcome != Outcome::Done);
+            Outcome::Done | Outcome::Failed | Outcome::ErrorResponse | Outcome::ConnectFailed => {
+                self.outlier_detector.record(now, outcome != Outcome::Done);
             }
-            Outcome::Cancelled | Outcome::Preempted | Outcome::Full => {}
+            Outcome::Cancelled | Outcome::Preempted | Outcome::Overloaded => {}
         }
         match outcome {
             // One that answers is there, whatever it answers.
-            Outcome::Done | Outcome::Erred => self.succeed(),
-            Outcome::Failed | Outcome::Unreached => self.fail(now),
-            Outcome::Full => self.refuse(now),
+            Outcome::Done | Outcome::ErrorResponse => self.succeed(),
+            Outcome::Failed | Outcome::ConnectFailed => self.fail(now),
+            Outcome::Overloaded => self.refuse(now),
             Outcome::Cancelled | Outcome::Preempted => {}
         }
     }
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -77,8 +77,8 @@
         Outcome::Cancelled,
         Outcome::Preempted,
         Outcome::Failed,
-        Outcome::Full,
-        Outcome::Erred,
+        Outcome::Overloaded,
+        Outcome::ErrorResponse,
     ][usize::from(number)]
 }
 
@@ -165,9 +165,11 @@
         }),
         Step::Leave { server } => Event::Leave(Key(*server)),
         Step::Gone { entry } => Event::EntryGone(Entry(*entry)),
-        Step::Limit { server, per_second } => Event::Limit(Key(*server), per_second.map(f64::from)),
+        Step::Limit { server, per_second } => {
+            Event::RateLimit(Key(*server), per_second.map(f64::from))
+        }
         Step::Rest { server, entry, time } => {
-            Event::Rest(Entry(*entry), Key(*server), bench.now + time * MILLISECOND)
+            Event::Cooldown(Entry(*entry), Key(*server), bench.now + time * MILLISECOND)
         }
         Step::Pass { .. } => return None,
     })
@@ -190,7 +192,7 @@
                     let orders = bench.tell(Event::Tick);
                     entries.obey(&orders, &bench, &asks);
                 }
-                let known: BTreeSet<Id> = bench.pool.each_running().map(|r| r.ask.id).collect();
+                let known: BTreeSet<Id> = bench.pool.iter_running().map(|r| r.ask.id).collect();
                 entries.running.retain(|id, _| known.contains(id));
                 continue;
             }
@@ -202,11 +204,11 @@
                 }
                 Event::Finish(id, ..) => drop(entries.running.remove(id)),
                 Event::Withdraw(id) => drop(entries.waiting.remove(id)),
-                Event::Limit(key, Some(rate)) => {
+                Event::RateLimit(key, Some(rate)) => {
                     drop(entries.limited.insert(*key, (*rate as u32, Vec::new())));
                 }
-                Event::Limit(key, None) => drop(entries.limited.remove(key)),
-                Event::Rest(entry, key, until) => {
+                Event::RateLimit(key, None) => drop(entries.limited.remove(key)),
+                Event::Cooldown(entry, key, until) => {
                     let end = entries.rests.entry((*entry, *key)).or_default();
                     *end = *until.max(end);
                 }
@@ -244,7 +246,7 @@
             }
         }
         for _ in 0..2_000 {
-            let running: Vec<Id> = bench.pool.each_running().map(|r| r.ask.id).collect();
+            let running: Vec<Id> = bench.pool.iter_running().map(|r| r.ask.id).collect();
             for id in running {
                 bench.finish(id, Outcome::Done);
             }
--- a/crates/drumusher-schedule/tests/schedule/support.rs
+++ b/crates/drumusher-schedule/tests/schedule/support.rs
@@ -48,8 +48,8 @@
         repeatable: true,
         preemptions: 0,
         avoid: None,
-        moved: false,
-        apart: Vec::new(),
+        migrated: false,
+        anti_affinity: Vec::new(),
         output: 0,
         parts: Vec::new(),
     }
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -49,14 +49,14 @@
 ) {
     let now = clock::now();
     match source {
-        Source::Running => rows.extend(state.each_running().map(|running| {
+        Source::Running => rows.extend(state.iter_running().map(|running| {
             let mut row = ask_row(&running.ask, pool, version);
             row.insert("server".into(), json!(&*names[usize::from(running.server.0)]));
             row.insert("running".into(), json!((now - running.granted) / 1_000));
             row.insert("tokens".into(), json!(running.produced));
             row
         })),
-        Source::Waiting => rows.extend(state.each_waiting().map(|waiting| {
+        Source::Waiting => rows.extend(state.iter_waiting().map(|waiting| {
             let mut row = ask_row(&waiting.ask, pool, version);
             row.insert("waited".into(), json!((now - waiting.since) / 1_000));
             row
@@ -97,7 +97,7 @@
         "running_of_others": server.foreign(),
         "window": server.window(),
         "free": server.free(now),
-        "token_gap_us": server.known_gap().map(|gap| gap as u64),
+        "token_gap_us": server.measured_gap().map(|gap| gap as u64),
     }))
 }
 
--- a/crates/drumusher/src/process/broker/view.rs
+++ b/crates/drumusher/src/process/broker/view.rs
@@ -56,7 +56,7 @@
         View {
             name,
             area,
-            capacity: rank::CAPACITY,
+            capacity: rank::DEFAULT_CAPACITY,
             directory: Arc::default(),
             unreachable: BTreeMap::new(),
             leaving: BTreeSet::new(),
--- a/crates/drumusher/src/process/catalog/membership.rs
+++ b/crates/drumusher/src/process/catalog/membership.rs
@@ -52,7 +52,7 @@
 
 /// The capacity of an instance whose entry has none.
 fn usual_capacity() -> u32 {
-    rank::CAPACITY
+    rank::DEFAULT_CAPACITY
 }
 
 impl Instance {
--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -370,7 +370,7 @@
         let key = self.pools.get(pool).and_then(|hosted| hosted.keys.get(server).copied());
         if let Some(key) = key {
             log::info!(server = server, parts = parts.len(); "an engine told what it keeps");
-            self.handle(pool, Event::Kept(key, parts));
+            self.handle(pool, Event::CachedParts(key, parts));
         }
     }
 
--- a/crates/drumusher/src/process/dispatch/asks.rs
+++ b/crates/drumusher/src/process/dispatch/asks.rs
@@ -121,7 +121,7 @@
 
     /// Confirms a waiting ask to its entry, which would otherwise take the silence for an outage of the dispatcher.
     fn acknowledge(&mut self, entry: Entry, message: &peer::Ask, pool: &Pool) {
-        let waits = |id| self.pools.get(pool).is_some_and(|hosted| hosted.scheduler.waits(id));
+        let waits = |id| self.pools.get(pool).is_some_and(|hosted| hosted.scheduler.is_waiting(id));
         if id::from_wire(&message.id).is_some_and(waits) {
             self.send_queued(entry, message.id.clone());
         }
--- a/crates/drumusher/src/process/dispatch/hosted_pool.rs
+++ b/crates/drumusher/src/process/dispatch/hosted_pool.rs
@@ -113,7 +113,7 @@
     /// Removes what is kept of requests that the scheduler no longer has, since their entry disconnected.
     pub(super) fn remove_ended(&mut self) {
         let scheduler = &self.scheduler;
-        let is_known = |id: Id| scheduler.waits(id) || scheduler.running_request(id).is_some();
+        let is_known = |id: Id| scheduler.is_waiting(id) || scheduler.running_request(id).is_some();
         self.trials.retain(is_known);
         for (_, entry) in self.reserved.extract_if(|id, _| !is_known(*id)) {
             self.budget.release(entry);
@@ -188,7 +188,7 @@
             // The scheduler forgets the limit too: nothing would lift it when the server is listed again.
             self.notices.remove(&name);
             let key = self.key(&name);
-            events.extend([Event::Leave(key), Event::Limit(key, None)]);
+            events.extend([Event::Leave(key), Event::RateLimit(key, None)]);
         }
         events
     }
--- a/crates/drumusher/src/process/dispatch/notices.rs
+++ b/crates/drumusher/src/process/dispatch/notices.rs
@@ -123,7 +123,7 @@
             self.update_rates(&pool, now);
         }
         if let Some(left) = notice.rest.filter(|left| *left > 0) {
-            self.handle(&pool, Event::Rest(entry, key, now + left as u64));
+            self.handle(&pool, Event::Cooldown(entry, key, now + left as u64));
         }
     }
 
@@ -141,7 +141,7 @@
         let Some(hosted) = self.pools.get_mut(pool) else { return };
         let share = hosted.budget.share(now, instances);
         let rates = hosted.notices.changed_rates(now, share);
-        let event = |(server, rate)| Some(Event::Limit(*hosted.keys.get(&server)?, rate));
+        let event = |(server, rate)| Some(Event::RateLimit(*hosted.keys.get(&server)?, rate));
         let events: Vec<Event> = rates.into_iter().filter_map(event).collect();
         events.into_iter().for_each(|event| self.handle(pool, event));
     }
--- a/crates/drumusher/src/process/dispatch/suspects.rs
+++ b/crates/drumusher/src/process/dispatch/suspects.rs
@@ -95,7 +95,7 @@
         hosted.release_retry(id);
         let digest = hosted.digests.remove(&id);
         let may_admit = hosted.trials.end(clock::now(), id);
-        let answered = matches!(outcome, Outcome::Done | Outcome::Erred);
+        let answered = matches!(outcome, Outcome::Done | Outcome::ErrorResponse);
         if let Some(digest) = digest.filter(|_| answered) {
             self.clear_suspect(digest);
         }
--- a/crates/drumusher/src/process/dispatch/usage.rs
+++ b/crates/drumusher/src/process/dispatch/usage.rs
@@ -23,7 +23,7 @@
         let now = clock::now();
         let gap = |running: &Running| {
             let hosted = self.pools.get(&Pool::parse(pool)?)?;
-            hosted.scheduler.server_at(running.server)?.seen_gap()
+            hosted.scheduler.server_at(running.server)?.estimated_gap()
         };
         self.count(pool, id, |running| {
             let gap = gap(running).unwrap_or(0.0) as Micros;
@@ -39,13 +39,16 @@
         let now = clock::now();
         let engine = self.is_engine(pool);
         let ran = |running: &Running| match outcome {
-            Outcome::Erred => !running.started,
+            Outcome::ErrorResponse => !running.started,
             Outcome::Done => !engine,
             Outcome::Failed if engine => {
                 !running.started && now >= running.granted + ASSUMED_STARTED_AFTER
             }
             Outcome::Failed => true,
-            Outcome::Cancelled | Outcome::Preempted | Outcome::Full | Outcome::Unreached => false,
+            Outcome::Cancelled
+            | Outcome::Preempted
+            | Outcome::Overloaded
+            | Outcome::ConnectFailed => false,
         };
         self.count(pool, id, |running| ran(running).then_some(running.granted));
     }
--- a/crates/drumusher/src/process/dispatch/wire.rs
+++ b/crates/drumusher/src/process/dispatch/wire.rs
@@ -40,10 +40,10 @@
         produced: wire.produced.unwrap_or(0).max(0) as u32,
         repeatable: !wire.unrepeatable.unwrap_or(false),
         preemptions: wire.preemptions.unwrap_or(0).clamp(0, 255) as u8,
-        moved: wire.server.is_some()
+        migrated: wire.server.is_some()
             || Attempt::from_wire(wire.attempt.unwrap_or(0)) == Attempt::Resent,
         avoid: avoid.and_then(|name| keys.get(name).copied()),
-        apart,
+        anti_affinity: apart,
         output: wire.output.unwrap_or(0).max(0) as u32,
         parts: wire.parts.iter().flatten().map(read_part).collect(),
     })
@@ -84,9 +84,9 @@
         0 => Outcome::Done,
         1 => Outcome::Cancelled,
         2 => Outcome::Preempted,
-        4 => Outcome::Full,
-        5 => Outcome::Erred,
-        6 => Outcome::Unreached,
+        4 => Outcome::Overloaded,
+        5 => Outcome::ErrorResponse,
+        6 => Outcome::ConnectFailed,
         _ => Outcome::Failed,
     }
 }
@@ -136,9 +136,9 @@
             let refuse = peer::Refuse::new(id::to_wire(id), refusal as i16, retry_after as i64);
             (entry, id, Message::Refuse(refuse), why)
         }
-        Order::Preempt { id, entry, stop } => {
-            let why = format!("ordered to stop ({stop:?})");
-            let preempt = peer::Preempt::new(id::to_wire(id), stop as i16);
+        Order::Preempt { id, entry, preemption } => {
+            let why = format!("ordered to stop ({preemption:?})");
+            let preempt = peer::Preempt::new(id::to_wire(id), preemption as i16);
             (entry, id, Message::Preempt(preempt), why)
         }
     }
--- a/crates/drumusher/src/request/stream.rs
+++ b/crates/drumusher/src/request/stream.rs
@@ -286,7 +286,7 @@
         span.end();
         self.scanner.restart();
         let outcome = match error {
-            attempt::Error::Full => Outcome::Full,
+            attempt::Error::Full => Outcome::Overloaded,
             _ => Outcome::Failed,
         };
         self.lifecycle.finish_attempt(outcome);
--- a/crates/drumusher/src/routed/exchange/end.rs
+++ b/crates/drumusher/src/routed/exchange/end.rs
@@ -84,7 +84,7 @@
         buffered: BufferedResponse,
     ) -> Response {
         let is_error = buffered.head.status >= 500;
-        self.ticket.finish(if is_error { Outcome::Erred } else { Outcome::Done });
+        self.ticket.finish(if is_error { Outcome::ErrorResponse } else { Outcome::Done });
         self.log_end(&backend.name, "delivered", buffered.head.status);
         let mut response = self.response_builder(&buffered.head).finish();
         response.head_mut().no_chunking(false);
--- a/crates/drumusher/src/routed/exchange/failure.rs
+++ b/crates/drumusher/src/routed/exchange/failure.rs
@@ -35,9 +35,9 @@
     /// Outcome reported to the dispatcher.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
-            Failure::NotRun(429 | 503) => Outcome::Full,
-            Failure::Failed(_) => Outcome::Erred,
-            Failure::NotConnected => Outcome::Unreached,
+            Failure::NotRun(429 | 503) => Outcome::Overloaded,
+            Failure::Failed(_) => Outcome::ErrorResponse,
+            Failure::NotConnected => Outcome::ConnectFailed,
             Failure::Withheld => Outcome::Cancelled,
             _ => Outcome::Failed,
         }
