--- a/crates/drumusher/src/process/dispatch.rs
+++ b/crates/drumusher/src/process/dispatch.rs
@@ -378,7 +378,14 @@
         let version = self.shared.version.load();
         let mut rows = Vec::new();
         for (pool, hosted) in &self.pools {
-            rows::add_pool_rows(source, pool, &hosted.scheduler, &hosted.names, &version, &mut rows);
+            rows::add_pool_rows(
+                source,
+                pool,
+                &hosted.scheduler,
+                &hosted.names,
+                &version,
+                &mut rows,
+            );
         }
         rows
     }
--- a/crates/drumusher/src/routed/exchange/grant.rs
+++ b/crates/drumusher/src/routed/exchange/grant.rs
@@ -88,7 +88,8 @@
     /// The time in milliseconds after which the server is usable again, if known.
     fn accept(&mut self, grant: Grant) -> Result<Backend, Option<u64>> {
         let Grant { server, source, expected, dispatcher, alone, known_limit } = grant;
-        (self.isolated, self.known_limit, self.expected_first_event) = (alone, known_limit, expected);
+        (self.isolated, self.known_limit, self.expected_first_event) =
+            (alone, known_limit, expected);
         self.dispatcher = Some(dispatcher);
         self.cache_source = self.find_cache_source(source);
         let usable = self.usable_backend(&server);
