--- a/crates/drumusher/src/process/peers/fetch.rs
+++ b/crates/drumusher/src/process/peers/fetch.rs
@@ -27,7 +27,7 @@
     /// The position up to which the table is known here.
     pub known: Position,
     /// Number of bytes already received.
-    pub at: usize,
+    pub offset: usize,
     /// The digest of the update that these bytes belong to.
     pub digest: Option<i64>,
 }
@@ -38,7 +38,7 @@
     /// The digest of the whole update.
     pub digest: i64,
     /// Its offset in the update, in bytes.
-    pub at: usize,
+    pub offset: usize,
     /// Length of the whole update, in bytes.
     pub total: usize,
     /// The bytes.
@@ -53,7 +53,7 @@
     /// The update is complete.
     Complete(Vec<u8>),
     /// Nothing: the piece does not continue the transfer.
-    None,
+    Ignore,
 }
 
 /// Relation of another instance to this one.
@@ -138,21 +138,22 @@
     /// Handles a piece received on a connection.
     pub fn receive(&mut self, now: Micros, conn: u32, piece: &Piece<'_>) -> Step {
         let Some(transfer) = &mut self.transfer else {
-            return Step::None;
+            return Step::Ignore;
         };
         // The other instance may have a newer or different update by now: the transfer starts over.
-        if transfer.digest != Some(piece.digest) && piece.at == 0 && conn == transfer.conn {
+        if transfer.digest != Some(piece.digest) && piece.offset == 0 && conn == transfer.conn {
             transfer.digest = Some(piece.digest);
             transfer.bytes.clear();
         }
-        let continues = transfer.digest == Some(piece.digest) && piece.at == transfer.bytes.len();
-        let end = piece.at + piece.bytes.len();
+        let continues =
+            transfer.digest == Some(piece.digest) && piece.offset == transfer.bytes.len();
+        let end = piece.offset + piece.bytes.len();
         if !continues
             || piece.bytes.is_empty()
             || end > piece.total
             || piece.total > MAX_UPDATE_BYTES
         {
-            return Step::None;
+            return Step::Ignore;
         }
         transfer.bytes.extend_from_slice(piece.bytes);
         if end < piece.total {
@@ -179,6 +180,11 @@
 
 impl Transfer {
     fn request(&self) -> Request {
-        Request { conn: self.conn, known: self.known, at: self.bytes.len(), digest: self.digest }
+        Request {
+            conn: self.conn,
+            known: self.known,
+            offset: self.bytes.len(),
+            digest: self.digest,
+        }
     }
 }
--- a/crates/drumusher/src/process/peers/pieces.rs
+++ b/crates/drumusher/src/process/peers/pieces.rs
@@ -122,8 +122,8 @@
 
     fn request_piece(&self, table: usize, request: Request) {
         let (known, era) = (request.known.offset as i64, request.known.era as i64);
-        let at = request.at as i64;
-        let message = peer::PieceRequest::new(table as i16, known, at, request.digest, era);
+        let offset = request.offset as i64;
+        let message = peer::PieceRequest::new(table as i16, known, offset, request.digest, era);
         self.send_on(request.conn, Message::PieceRequest(message));
     }
 
@@ -158,11 +158,12 @@
             return;
         };
         let continues = request.digest == Some(encoded.digest);
-        let at = if continues { request.at.max(0) as usize } else { 0 }.min(encoded.bytes.len());
-        let end = (at + PIECE_BYTES).min(encoded.bytes.len());
+        let offset =
+            if continues { request.at.max(0) as usize } else { 0 }.min(encoded.bytes.len());
+        let end = (offset + PIECE_BYTES).min(encoded.bytes.len());
         let total = encoded.bytes.len() as i64;
-        let bytes = encoded.bytes[at..end].to_vec();
-        let piece = peer::Piece::new(request.table, encoded.digest, at as i64, total, bytes);
+        let bytes = encoded.bytes[offset..end].to_vec();
+        let piece = peer::Piece::new(request.table, encoded.digest, offset as i64, total, bytes);
         {
             let mut inner = self.inner.borrow_mut();
             let is_last = end == encoded.bytes.len();
@@ -212,7 +213,7 @@
         }
         let received = fetch::Piece {
             digest: piece.digest,
-            at: piece.at.max(0) as usize,
+            offset: piece.at.max(0) as usize,
             total: piece.total.max(0) as usize,
             bytes: &piece.bytes,
         };
@@ -220,7 +221,7 @@
         match step {
             Step::Next(request) => self.request_piece(table, request),
             Step::Complete(bytes) => self.apply_complete(table, instance, &bytes),
-            Step::None => {}
+            Step::Ignore => {}
         }
     }
 
--- a/crates/drumusher/tests/unit/fetch.rs
+++ b/crates/drumusher/tests/unit/fetch.rs
@@ -12,12 +12,12 @@
 const KNOWN: Position = Position { era: 1, offset: 7 };
 const DIGEST: i64 = 0x5eed;
 
-fn piece(at: usize, bytes: &'static [u8]) -> Piece<'static> {
-    Piece { digest: DIGEST, at, total: 6, bytes }
+fn piece(offset: usize, bytes: &'static [u8]) -> Piece<'static> {
+    Piece { digest: DIGEST, offset, total: 6, bytes }
 }
 
-fn request(conn: u32, at: usize) -> Request {
-    Request { conn, known: KNOWN, at, digest: (at > 0).then_some(DIGEST) }
+fn request(conn: u32, offset: usize) -> Request {
+    Request { conn, known: KNOWN, offset, digest: (offset > 0).then_some(DIGEST) }
 }
 
 /// A fetch from the teller, of which the first two of six bytes came.
@@ -65,7 +65,7 @@
     fetch.connection_closed(SOURCE);
     let again = fetch.peer_ahead(SECOND, KNOWN, next, PeerKind::Other);
     assert_eq!(again, Some(request(next, 2)));
-    let other = Piece { digest: 9, at: 0, total: 6, bytes: b"xy" };
+    let other = Piece { digest: 9, offset: 0, total: 6, bytes: b"xy" };
     let begins = fetch.receive(SECOND, next, &other);
     let anew = Request { digest: Some(9), ..request(next, 2) };
     assert_eq!(begins, Step::Next(anew), "one that knows something else begins anew");
@@ -91,7 +91,7 @@
 #[case(piece(2, b""))]
 fn what_does_not_continue_is_passed_over(#[case] other: Piece<'static>) {
     let mut fetch = begun();
-    assert_eq!(fetch.receive(1, SOURCE, &other), Step::None);
+    assert_eq!(fetch.receive(1, SOURCE, &other), Step::Ignore);
     assert_eq!(fetch.receive(1, SOURCE, &piece(2, b"cd")), Step::Next(request(SOURCE, 4)));
 }
 
@@ -100,7 +100,7 @@
 #[test]
 fn what_is_being_taken_is_not_asked_for() {
     let mut fetch = begun();
-    let whole = Piece { at: 2, bytes: b"cdef", ..piece(0, b"") };
+    let whole = Piece { offset: 2, bytes: b"cdef", ..piece(0, b"") };
     assert!(matches!(fetch.receive(0, SOURCE, &whole), Step::Complete(_)));
     assert_eq!(fetch.peer_ahead(SECOND, KNOWN, SOURCE, PeerKind::Source), None);
     let newer = fetch.peer_ahead(SECOND, KNOWN.advance(1), SOURCE, PeerKind::Source);
