--- a/crates/drumusher/tests/unit/uploads.rs
+++ b/crates/drumusher/tests/unit/uploads.rs
@@ -3,7 +3,7 @@
 use drumusher::process::peers::Uploads;
 use drumusher_schedule::time::MILLISECOND;
 
-/// Turns of which the first four connections have one and two more wait.
+/// Uploads in which the first four connections have a slot and two more wait.
 fn uploads() -> Uploads<&'static str> {
     let mut uploads = Uploads::new();
     for conn in 0..4 {
