--- a/crates/drumusher-platform/src/once.rs
+++ b/crates/drumusher-platform/src/once.rs
@@ -38,7 +38,7 @@
     /// Nothing is written after this, on the clock of the process.
     pub until: Micros,
     /// Longest time of all of it.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// Posts a call and returns the status of its answer.
@@ -51,7 +51,7 @@
 }
 
 fn exchange(call: &Call) -> Result<u16, Error> {
-    let end = clock::now() + call.within.as_micros() as Micros;
+    let end = clock::now() + call.timeout.as_micros() as Micros;
     let mut stream = connect(call.address, end).map_err(|_| Error::Unreachable)?;
     let bytes = bytes(call);
     if clock::now() > call.until {
--- a/crates/drumusher/tests/suspension.rs
+++ b/crates/drumusher/tests/suspension.rs
@@ -92,7 +92,7 @@
         headers: Vec::new(),
         body: "{}".into(),
         until: clock::now() + SHORT,
-        within: Duration::from_secs(3_600),
+        timeout: Duration::from_secs(3_600),
     };
     clock::suspend(SUSPENDED);
     assert_eq!(run(post(call)), Err(Error::Unreachable));
