--- a/crates/drumusher-platform/src/http.rs
+++ b/crates/drumusher-platform/src/http.rs
@@ -25,7 +25,7 @@
 
 /// An answer: its status and its bytes.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// [`Error::Unreachable`] or [`Error::NoAnswer`].
-    pub async fn get(&self, url: &str) -> Result<Answer, Error> {
+    pub async fn get(&self, url: &str) -> Result<Response, Error> {
         let response = self.client.get(url).send().await.map_err(|e| failed(&e))?;
         answer(response).await
     }
@@ -76,7 +76,7 @@
         url: &str,
         begin: Millis,
         pause: Millis,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let sent = timeout(begin, self.client.get(url).send()).await;
         let mut response = sent.map_err(|()| Error::NoAnswer)?.map_err(|e| failed(&e))?;
         let mut body = Vec::new();
@@ -89,10 +89,10 @@
             }
             body.extend_from_slice(&piece);
         }
-        Ok(Answer { status: response.status(), headers: response.headers().clone(), body })
+        Ok(Response { status: response.status(), headers: response.headers().clone(), body })
     }
 
-    pub(crate) async fn post<T: Serialize>(&self, url: &str, body: &T) -> Result<Answer, Error> {
+    pub(crate) async fn post<T: Serialize>(&self, url: &str, body: &T) -> Result<Response, Error> {
         let sent = self.client.post(url).send_json(body).await;
         answer(sent.map_err(|e| failed(&e))?).await
     }
@@ -102,20 +102,20 @@
     /// # Errors
     ///
     /// [`Error::Unreachable`] or [`Error::NoAnswer`].
-    pub async fn post_bytes(&self, url: &str, body: Vec<u8>) -> Result<Answer, Error> {
+    pub async fn post_bytes(&self, url: &str, body: Vec<u8>) -> Result<Response, Error> {
         let sent = self.client.post(url).send_body(body).await;
         answer(sent.map_err(|e| failed(&e))?).await
     }
 }
 
-async fn answer(response: ntex::client::ClientResponse) -> Result<Answer, Error> {
+async fn answer(response: ntex::client::ClientResponse) -> Result<Response, Error> {
     let status = response.status();
     let headers = response.headers().clone();
     let body = response.body().limit(LONGEST).await.map_err(|_| Error::NoAnswer)?;
-    Ok(Answer { status, headers, body: body.to_vec() })
+    Ok(Response { status, headers, body: body.to_vec() })
 }
 
-impl Answer {
+impl Response {
     /// The value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Answer::json`].
+    /// As [`Response::json`].
     pub fn json_of_text<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if !self.status.is_success() {
             return Err(Error::Unavailable(self.status.as_u16()));
--- a/crates/drumusher-platform/src/lib.rs
+++ b/crates/drumusher-platform/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod routing;
 pub mod tcp;
 
-pub use http::{Answer, Http};
+pub use http::{Http, Response};
 
 use std::fmt;
 
