--- a/crates/drumusher-platform/src/http.rs
+++ b/crates/drumusher-platform/src/http.rs
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// [`Error::Unreachable`] or [`Error::NoAnswer`].
-    pub async fn get_steady(
+    pub async fn get_with_idle_timeout(
         &self,
         url: &str,
         begin: Millis,
@@ -135,7 +135,7 @@
         if !self.status.is_success() {
             return Err(Error::Unavailable(self.status.as_u16()));
         }
-        self.json_of_any_status()
+        self.json_any_status()
     }
 
     /// The same of an answer that quotes what others wrote, whose bytes may be no text in places: there the
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// As [`Response::json`].
-    pub fn json_of_text<T: DeserializeOwned>(&self) -> Result<T, Error> {
+    pub fn json_lossy<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if !self.status.is_success() {
             return Err(Error::Unavailable(self.status.as_u16()));
         }
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// [`Error::Malformed`] if it is not such JSON.
-    pub fn json_of_any_status<T: DeserializeOwned>(&self) -> Result<T, Error> {
+    pub fn json_any_status<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|e| Error::Malformed(e.to_string()))
     }
 }
--- a/crates/drumusher-platform/src/log.rs
+++ b/crates/drumusher-platform/src/log.rs
@@ -106,7 +106,7 @@
         let url = format!("{base}/{stream}/records?from={from}&max={max}&wait_ms={wait_ms}");
         let answer = self.http.get(&url).await?;
         if answer.status.as_u16() == 410 {
-            let gone: GoneBody = answer.json_of_any_status()?;
+            let gone: GoneBody = answer.json_any_status()?;
             return Ok(Page::Gone(gone.first));
         }
         let page: ReadBody = answer.json()?;
