--- a/crates/drumusher-platform/src/load.rs
+++ b/crates/drumusher-platform/src/load.rs
@@ -36,11 +36,11 @@
 
 /// What a backend server says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum Status {
     /// Its report.
     Report(Report),
     /// It takes no more for so many seconds; 0 if it does not say how long.
-    Full(u64),
+    Saturated(u64),
 }
 
 /// Reading load reports.
@@ -50,15 +50,15 @@
     /// # Errors
     ///
     /// Any [`Error`].
-    fn load(&self, address: &str) -> impl Future<Output = Result<Answer, Error>>;
+    fn load(&self, address: &str) -> impl Future<Output = Result<Status, Error>>;
 }
 
 impl Load for Http {
-    async fn load(&self, address: &str) -> Result<Answer, Error> {
+    async fn load(&self, address: &str) -> Result<Status, Error> {
         let answer = self.get(&format!("http://{address}/load")).await?;
         if answer.status.as_u16() == 503 {
-            return Ok(Answer::Full(answer.retry_after().unwrap_or(0)));
+            return Ok(Status::Saturated(answer.retry_after().unwrap_or(0)));
         }
-        answer.json().map(Answer::Report)
+        answer.json().map(Status::Report)
     }
 }
--- a/crates/drumusher/src/process/platform/load.rs
+++ b/crates/drumusher/src/process/platform/load.rs
@@ -1,6 +1,6 @@
 //! Reading the load reports of the backend servers that this instance dispatches.
 
-use drumusher_platform::load::{Answer, Load, State};
+use drumusher_platform::load::{Load, State, Status};
 use drumusher_schedule::time::SECOND;
 use ntex::{
     rt,
@@ -35,14 +35,14 @@
 
 async fn read(context: Context, pool: Pool, backend: Backend) {
     let report = match context.http.load(&backend.address).await {
-        Ok(Answer::Report(report)) if report.state == State::Leaving => None,
-        Ok(Answer::Report(report)) => Some(dispatch::Report {
+        Ok(Status::Report(report)) if report.state == State::Leaving => None,
+        Ok(Status::Report(report)) => Some(dispatch::Report {
             age: clock::unix_ms().saturating_sub(report.as_of_ms) * 1_000,
             running: report.running,
             waiting: report.waiting,
             full: None,
         }),
-        Ok(Answer::Full(seconds)) => Some(dispatch::Report {
+        Ok(Status::Saturated(seconds)) => Some(dispatch::Report {
             age: 0,
             running: 0,
             waiting: 0,
