--- a/crates/drumusher-platform/src/dialect.rs
+++ b/crates/drumusher-platform/src/dialect.rs
@@ -23,7 +23,7 @@
     /// Tokens of the prompt.
     pub prompt: u32,
     /// Most tokens of the answer.
-    pub most: u32,
+    pub max_tokens: u32,
     /// The caller's guess at the tokens of the answer.
     pub hint: Option<u32>,
     /// The parts of the prompt, in order.
