--- a/crates/drumusher/src/process/logs.rs
+++ b/crates/drumusher/src/process/logs.rs
@@ -1,8 +1,8 @@
-//! Log lines: one JSON object each, to standard output, written by a thread of its own.
+//! Logging: one JSON object per line to standard output, written by a dedicated thread.
 //!
-//! A line that is made goes to a bounded ring. When whoever reads standard output falls behind, the
-//! ring fills and further lines are dropped and counted; the next line that passes is preceded by
-//! one with the count. So a line never delays a request.
+//! Each line goes to a bounded queue. When the reader of standard output falls behind, the queue fills, and
+//! further lines are dropped and counted; the next line that fits is preceded by one with the count. Logging
+//! therefore never delays a request.
 
 use std::{
     io::{self, Write},
@@ -23,28 +23,28 @@
 
 use crate::{process::ring, settings::Settings};
 
-/// Lines that may wait to be written: some seconds of the busiest instance.
-const RING: usize = 8_192;
-/// Longest wait for the lines of a process that ends.
-const FLUSH: Duration = Duration::from_millis(200);
+/// Maximum number of lines waiting to be written: some seconds of output of the busiest instance.
+const QUEUE_LINES: usize = 8_192;
+/// Timeout for flushing the queue when the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is to be written.
+/// An entry of the writer's queue.
 #[derive(Debug)]
 enum Item {
     Line(Vec<u8>),
-    /// Tells when all lines before it are written.
+    /// Signals that all lines queued before it have been written.
     Flush(crossbeam_channel::Sender<()>),
 }
 
-/// Makes lines and hands them to the writer.
+/// Encodes log records and queues them for the writer.
 #[derive(Debug)]
-struct Ring {
+struct QueueAppender {
     encoder: JsonEncoder,
     sender: ring::Sender<Item>,
     dropped: Arc<AtomicU64>,
 }
 
-/// Collects the bytes of one line.
+/// Buffer for one encoded line.
 #[derive(Debug, Default)]
 struct Line(Vec<u8>);
 
@@ -61,7 +61,7 @@
 
 impl encode::Write for Line {}
 
-impl Append for Ring {
+impl Append for QueueAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let mut line = Line::default();
         self.encoder.encode(&mut line, record)?;
@@ -74,21 +74,21 @@
     fn flush(&self) {
         let (done, written) = crossbeam_channel::bounded(1);
         if self.sender.try_send(Item::Flush(done)).is_ok() {
-            let _ = written.recv_timeout(FLUSH);
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Starts writing log lines.
+/// Installs the logger and starts its writer thread.
 ///
 /// # Errors
 ///
-/// A sentence, if the logger cannot be set up.
+/// A message for the operator if the logger cannot be set up.
 pub fn start(settings: &Settings) -> Result<(), String> {
     let level: LevelFilter = settings.telemetry.level.parse().unwrap_or(LevelFilter::Info);
-    let (sender, receiver) = ring::to_thread(RING);
+    let (sender, receiver) = ring::to_thread(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let ring = Ring { encoder: JsonEncoder::new(), sender, dropped: dropped.clone() };
+    let ring = QueueAppender { encoder: JsonEncoder::new(), sender, dropped: dropped.clone() };
     let writer = thread::Builder::new().name("logs".into());
     writer.spawn(move || write(&receiver, &dropped)).map_err(|e| e.to_string())?;
     let config = Config::builder()
@@ -99,12 +99,15 @@
     log4rs::init_config(config).map(drop).map_err(|e| e.to_string())
 }
 
-/// Writes lines until the process ends. A standard output that is gone takes the lines with it.
+/// Writes queued lines until the process exits. Lines that cannot be written, as when standard output is
+/// closed, are dropped and counted.
 fn write(receiver: &ring::Receiver<Item>, dropped: &AtomicU64) {
     let mut out = io::stdout().lock();
     for item in receiver {
         let written = match item {
-            Item::Line(line) => tell_dropped(&mut out, dropped).and_then(|()| out.write_all(&line)),
+            Item::Line(line) => {
+                report_dropped(&mut out, dropped).and_then(|()| out.write_all(&line))
+            }
             Item::Flush(done) => {
                 let flushed = out.flush();
                 let _ = done.try_send(());
@@ -118,7 +121,7 @@
     }
 }
 
-fn tell_dropped(out: &mut impl Write, dropped: &AtomicU64) -> io::Result<()> {
+fn report_dropped(out: &mut impl Write, dropped: &AtomicU64) -> io::Result<()> {
     match dropped.swap(0, Ordering::Relaxed) {
         0 => Ok(()),
         count => writeln!(
--- a/crates/drumusher/src/process/mod.rs
+++ b/crates/drumusher/src/process/mod.rs
@@ -1,37 +1,37 @@
-//! What lives as long as the process: its threads and what they share.
+//! The process: its threads and the state that they share.
 //!
-//! | thread | duty |
+//! | thread | responsibility |
 //! |---|---|
 //! | `http` workers | callers, operators, streams from backend servers |
-//! | `peers` | connections to other instances; the asks this instance owns |
-//! | `dispatch` | decisions for the pools this instance dispatches |
-//! | `platform` | log, list, load reports, appends; with a store, its tables |
-//! | `status` | with a store: whether the instance is ready, and its metrics |
-//! | `signals` | the orders to stop |
-//! | `logs` | log lines to standard output |
-//! | exporters | spans and metrics to a collector, if one is set |
+//! | `peers` | connections to other instances; the broker with the asks this instance owns |
+//! | `dispatch` | scheduling decisions for the pools this instance dispatches |
+//! | `platform` | log, member list, load reports, appends; with a store, its tables |
+//! | `status` | with a store: readiness probe, metrics, operators' statements |
+//! | `signals` | SIGTERM, SIGINT and SIGHUP |
+//! | `logs` | writes log lines to standard output |
+//! | exporters | send spans and metrics to a collector, if one is configured |
 //!
-//! | module | duty |
+//! | module | responsibility |
 //! |---|---|
-//! | [`serve`] | starts the threads and ends them; the HTTP workers of the log-service deployment |
-//! | [`routes`] | the same side of the store deployment: callers, status, the store's thread |
-//! | [`shared`] | what the threads share |
-//! | [`broker`] | the asks this instance owns, and which dispatcher has each |
+//! | [`serve`] | startup and shutdown; the HTTP workers of the log-service deployment |
+//! | [`routes`] | the store deployment: servers for callers and status, the store's thread |
+//! | [`shared`] | state shared by the threads |
+//! | [`broker`] | the asks this instance owns, and the dispatcher of each |
 //! | [`dispatch`] | the pools this instance dispatches |
 //! | [`peers`] | connections to other instances |
-//! | [`platform`] | the configuration log, the list of instances, load reports |
+//! | [`platform`] | the configuration log, the member list, load reports |
 //! | [`catalog`] | the platform's store: configuration of routes, backend servers, instances |
-//! | `duties` | what one instance at a time does for the platform |
-//! | [`explain`] | why each recent request fared as it did |
-//! | [`telemetry`] | metrics and spans |
-//! | [`logs`] | log lines |
+//! | `duties` | calls to the platform that only one instance makes at a time |
+//! | [`explain`] | explanations of recent requests' outcomes |
+//! | [`telemetry`] | metrics and trace spans |
+//! | [`logs`] | logging |
 //! | [`clock`] | the process's clock |
-//! | [`counts`] | requests and repeats by the time at which they were sent |
-//! | [`notices`] | what backend servers last said of themselves |
+//! | [`counts`] | requests and retries by the time at which they were sent |
+//! | [`notices`] | limits, back-off periods and departures announced by backend servers |
 //!
-//! The threads are joined by bounded rings. What a request does once (its ask and its finish) always
-//! passes, and is bounded by the number of requests held; reports that a full ring refuses are
-//! dropped and counted.
+//! The threads communicate through bounded queues. What a request sends once (its ask and its finish) is
+//! always accepted, and is bounded by the number of requests in flight; reports that do not fit into a full
+//! queue are dropped and counted.
 
 pub mod broker;
 pub mod catalog;
--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -1,4 +1,4 @@
-//! Running an instance that passes requests through along routes.
+//! Running an instance that forwards requests by configured routes.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -33,31 +33,31 @@
     upstream,
 };
 
-/// Longest time a caller's connection may be idle. Longer than the platform's callers rest, so that
-/// no request crosses the close.
-const IDLE: Seconds = Seconds(60);
-/// Longest time the servers may take to end once no request is held.
-const LAST: Seconds = Seconds(1);
-/// Connections that rest are closed so long after the order to stop: the balancer asks each second
-/// and gives no new ones after two misses.
-const CLOSE_AFTER: Micros = 2_200 * MILLISECOND;
-/// Time between two looks for idle connections to close: they are kept for some seconds.
-const PRUNE: Millis = Millis(5_000);
-/// Time between two looks at that.
-const LOOK: Millis = Millis(100);
-/// The path of operators' statements.
-const QUERY: &str = "/operator/query";
-/// Longest statement of an operator, in bytes.
-const LONGEST_STATEMENT: usize = 16 * 1024;
-/// The path of the metrics.
-const METRICS: &str = "/metrics";
+/// Keep-alive timeout of callers' connections. Longer than the idle timeout of the platform's callers, so
+/// that no request is sent on a connection that is being closed.
+const KEEP_ALIVE: Seconds = Seconds(60);
+/// Timeout of the servers' shutdown once no request is in flight.
+const SHUTDOWN_TIMEOUT: Seconds = Seconds(1);
+/// Time after the start of a planned stop at which idle connections are closed: the load balancer probes each
+/// second and sends no new ones after two failed probes.
+const CLOSE_IDLE_AFTER: Micros = 2_200 * MILLISECOND;
+/// Interval at which idle connections to backend servers are pruned; they are kept for some seconds.
+const PRUNE_INTERVAL: Millis = Millis(5_000);
+/// Interval at which a planned stop is checked for.
+const POLL_INTERVAL: Millis = Millis(100);
+/// Path for operators' statements.
+const QUERY_PATH: &str = "/operator/query";
+/// Maximum length of an operator's statement, in bytes.
+const MAX_STATEMENT_BYTES: usize = 16 * 1024;
+/// Path of the metrics.
+const METRICS_PATH: &str = "/metrics";
 
-/// Runs an instance on the platform's store until it is told to stop. Returns how many requests
+/// Runs an instance on the platform's store until it is told to stop. Returns the number of requests that
 /// were cut.
 ///
 /// # Errors
 ///
-/// A sentence, if it cannot start.
+/// A message for the operator if the instance cannot start.
 pub fn run<S, D, F>(settings: Settings, dialect: D, store: F) -> Result<usize, String>
 where
     S: Store + Engines + Duties + 'static,
@@ -68,7 +68,7 @@
     serve::run_with(settings, move |parts| start(parts, listeners, dialect, store))
 }
 
-/// The sockets, bound before anything else.
+/// The listening sockets, bound before anything else is started.
 struct Listeners {
     callers: TcpListener,
     status: Vec<TcpListener>,
@@ -94,7 +94,7 @@
     F: AsyncFnOnce() -> Result<S, drumusher_platform::Error> + Send + 'static,
 {
     let Parts { shared, platform } = parts;
-    follow_store(shared.clone(), store, platform);
+    start_store(shared.clone(), store, platform);
     let mut servers = vec![serve_callers(shared.clone(), listeners.callers, dialect)?];
     for listener in listeners.status {
         servers.push(serve_status(shared.clone(), listener)?);
@@ -102,7 +102,7 @@
     Ok(servers)
 }
 
-fn follow_store<S, F>(shared: Arc<Shared>, store: F, receiver: platform::Receiver)
+fn start_store<S, F>(shared: Arc<Shared>, store: F, receiver: platform::Receiver)
 where
     S: Store + Engines + Duties + 'static,
     F: AsyncFnOnce() -> Result<S, drumusher_platform::Error> + Send + 'static,
@@ -112,7 +112,7 @@
         rt::spawn(async move {
             match store().await {
                 Ok(store) => catalog::run(shared, store, receiver).await,
-                Err(error) => log::error!("no client for the store: {error}"),
+                Err(error) => log::error!("cannot create a client for the store: {error}"),
             }
         });
     });
@@ -124,9 +124,14 @@
     dialect: D,
 ) -> Result<server::Server, String> {
     let header = Seconds(shared.settings.limits.header_seconds);
-    let config =
-        HttpServiceConfig::new().set_headers_read_rate(header, header, 16).set_keepalive(IDLE);
-    let builder = server::build().name("http").workers(1).disable_signals().shutdown_timeout(LAST);
+    let config = HttpServiceConfig::new()
+        .set_headers_read_rate(header, header, 16)
+        .set_keepalive(KEEP_ALIVE);
+    let builder = server::build()
+        .name("http")
+        .workers(1)
+        .disable_signals()
+        .shutdown_timeout(SHUTDOWN_TIMEOUT);
     let builder = builder.listen("callers", listener, async move |_| {
         let worker = Worker {
             shared: shared.clone(),
@@ -134,7 +139,7 @@
             conns: upstream::Pool::new(),
             callers: Callers::new(),
         };
-        rt::spawn(close_resting(shared.clone(), worker.callers.clone()));
+        rt::spawn(close_idle_callers(shared.clone(), worker.callers.clone()));
         rt::spawn(prune(worker.conns.clone()));
         let worker = Rc::new(worker);
         HttpService::h1(ntex::fn_service(move |request: http::Request| {
@@ -145,31 +150,34 @@
     Ok(builder.config("callers", SharedCfg::new("callers").add(config)).run())
 }
 
-/// Closes connections to backend servers that were idle for too long.
+/// Closes connections to backend servers that have been idle for too long.
 async fn prune(conns: upstream::Pool) {
     loop {
-        sleep(PRUNE).await;
+        sleep(PRUNE_INTERVAL).await;
         conns.prune();
     }
 }
 
-/// Closes callers' connections that rest, once a planned stop has lasted for a while.
-async fn close_resting(shared: Arc<Shared>, callers: Callers) {
+/// Closes callers' idle connections once a planned stop has lasted for [`CLOSE_IDLE_AFTER`].
+async fn close_idle_callers(shared: Arc<Shared>, callers: Callers) {
     loop {
-        sleep(LOOK).await;
-        if shared.stopping_for().is_some_and(|time| time > CLOSE_AFTER) {
+        sleep(POLL_INTERVAL).await;
+        if shared.stopping_for().is_some_and(|time| time > CLOSE_IDLE_AFTER) {
             let closed = callers.close_resting();
             if closed > 0 {
-                log::info!(closed = closed; "stopping: connections that rest are closed");
+                log::info!(closed = closed; "stopping: idle connections closed");
             }
         }
     }
 }
 
-/// Answers the balancer whether the instance is ready, and tells the metrics.
+/// Serves the readiness probe of the load balancer, the metrics and operators' statements.
 fn serve_status(shared: Arc<Shared>, listener: TcpListener) -> Result<server::Server, String> {
-    let builder =
-        server::build().name("status").workers(1).disable_signals().shutdown_timeout(LAST);
+    let builder = server::build()
+        .name("status")
+        .workers(1)
+        .disable_signals()
+        .shutdown_timeout(SHUTDOWN_TIMEOUT);
     let builder = builder.listen("status", listener, async move |_| {
         let shared = shared.clone();
         HttpService::h1(ntex::fn_service(move |request: http::Request| {
@@ -180,9 +188,9 @@
     Ok(builder.map_err(|e| e.to_string())?.run())
 }
 
-/// Answers the balancer, a reader of metrics, or an operator.
+/// Answers a readiness probe, a metrics scrape or an operator's statement.
 async fn answer_status(shared: Arc<Shared>, mut request: http::Request) -> Response {
-    if request.path() != QUERY {
+    if request.path() != QUERY_PATH {
         return status(&shared, &request);
     }
     let author = match operator::author(&shared, request.headers()) {
@@ -191,9 +199,9 @@
     };
     let mut payload = request.take_payload();
     let mut statement = Vec::new();
-    while let Some(Ok(piece)) = stream_recv(&mut payload).await {
-        statement.extend_from_slice(&piece);
-        if statement.len() > LONGEST_STATEMENT {
+    while let Some(Ok(chunk)) = stream_recv(&mut payload).await {
+        statement.extend_from_slice(&chunk);
+        if statement.len() > MAX_STATEMENT_BYTES {
             let error = Error::new(Kind::TooLarge, "the statement is too long");
             return refusal::response(&error, false);
         }
@@ -203,8 +211,8 @@
 }
 
 fn status(shared: &Shared, request: &http::Request) -> Response {
-    if request.path() == METRICS {
-        shared.note_notices();
+    if request.path() == METRICS_PATH {
+        shared.update_notice_gauges();
         return Response::Ok()
             .content_type("text/plain; version=0.0.4")
             .body(shared.telemetry.text());
--- a/crates/drumusher/src/process/serve.rs
+++ b/crates/drumusher/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an instance.
+//! Startup and shutdown of an instance.
 
 use std::{
     net::TcpListener,
@@ -30,42 +30,42 @@
     settings::Settings,
 };
 
-/// Longest time a graceful end of the HTTP server may take once no request is held.
-const LAST: Seconds = Seconds(2);
-/// Part of the time allowed for a stop after which requests still held are cut, so that the process
-/// ends by itself before it is killed.
-const GRACE_USED: f64 = 0.85;
-/// Time between two looks at whether all requests ended.
-const LOOK: Millis = Millis(20);
+/// Timeout of the HTTP server's graceful shutdown once no request is in flight.
+const SHUTDOWN_TIMEOUT: Seconds = Seconds(2);
+/// Share of the time allowed for a stop after which requests still in flight are cut, so that the process
+/// exits before it is killed.
+const STOP_TIME_SHARE: f64 = 0.85;
+/// Interval at which shutdown checks for requests in flight.
+const POLL_INTERVAL: Millis = Millis(20);
 
-/// Runs an instance until it is told to stop. Returns how many requests a second signal cut.
+/// Runs an instance until it is told to stop. Returns the number of requests that were cut.
 ///
 /// # Errors
 ///
-/// A sentence, if it cannot start.
+/// A message for the operator if the instance cannot start.
 pub fn run(settings: Settings) -> Result<usize, String> {
     let http = listen(settings.http)?;
     run_with(settings, move |parts| {
         let Parts { shared, platform } = parts;
-        follow_platform(shared.clone(), platform);
+        start_platform(shared.clone(), platform);
         Ok(vec![serve_http(shared, http)?])
     })
 }
 
-/// What the side towards callers and platform is made of.
+/// Arguments for starting the servers for callers and the platform thread.
 pub struct Parts {
-    /// What the threads share.
+    /// State shared by the threads.
     pub shared: Arc<Shared>,
-    /// The receiving end of the platform ring.
+    /// Input of the platform thread.
     pub platform: platform::Receiver,
 }
 
-/// Runs an instance whose side towards callers and platform is started by `start`, which returns
-/// the servers of callers. Returns how many requests were cut.
+/// Runs an instance whose caller-facing servers and platform thread are started by `start`, which returns the
+/// servers. Returns the number of requests that were cut.
 ///
 /// # Errors
 ///
-/// A sentence, if it cannot start.
+/// A message for the operator if the instance cannot start.
 pub fn run_with(
     settings: Settings,
     start: impl FnOnce(Parts) -> Result<Vec<server::Server>, String> + 'static,
@@ -73,23 +73,23 @@
     let telemetry = Telemetry::new(&settings)?;
     let peer = listen(settings.peer)?;
     let (shared, receivers) = Shared::new(settings, telemetry);
-    let hurried = watch_signals(shared.clone())?;
+    let forced = watch_signals(shared.clone())?;
     let runner = rt::System::build().name("drumusher").build(rt::DefaultRuntime);
-    runner.block_on(serve(shared, receivers, peer, hurried, start))
+    runner.block_on(serve(shared, receivers, peer, forced, start))
 }
 
-/// A socket that takes connections.
+/// Binds a listening socket.
 ///
 /// # Errors
 ///
-/// A sentence, if the address cannot be had.
+/// A message for the operator if the address cannot be bound.
 pub fn listen(address: std::net::SocketAddr) -> Result<TcpListener, String> {
     TcpListener::bind(address).map_err(|e| format!("cannot listen on {address}: {e}"))
 }
 
-/// Reads the settings file again after a hang-up and tells what came of it. Addresses and bounds are
-/// bound to the process, so that a change is in force after the next start.
-fn reread(settings: &Settings) {
+/// Checks the settings file again on SIGHUP and logs the result. Nothing is applied: addresses and limits are
+/// bound to the process, so a change takes effect at the next start.
+fn check_settings(settings: &Settings) {
     let text = match std::fs::read_to_string(&settings.source) {
         Ok(text) => text,
         Err(error) => return log::error!("{}: {error}; the settings stay", settings.source),
@@ -97,7 +97,7 @@
     match crate::settings::parse(&text) {
         Ok(read) => {
             let changed = read.with_source(&settings.source) != *settings;
-            log::info!(changed = changed; "settings read again; a change holds from the next start");
+            log::info!(changed = changed; "settings read again; a change takes effect at the next start");
         }
         Err(faults) => {
             for fault in faults {
@@ -107,29 +107,29 @@
     }
 }
 
-/// The first signal asks for a planned stop, the second one ends at once.
+/// The first SIGTERM or SIGINT starts a planned stop, the second one ends the process at once.
 fn watch_signals(shared: Arc<Shared>) -> Result<Arc<AtomicBool>, String> {
     let mut signals = Signals::new([signal::SIGTERM, signal::SIGINT, signal::SIGHUP])
         .map_err(|e| e.to_string())?;
-    let hurried = Arc::new(AtomicBool::new(false));
-    let flag = hurried.clone();
+    let forced = Arc::new(AtomicBool::new(false));
+    let flag = forced.clone();
     let watch = move || {
         for signal in signals.forever() {
             if signal == signal::SIGHUP {
-                reread(&shared.settings);
+                check_settings(&shared.settings);
             } else if shared.stop() {
                 flag.store(true, Ordering::Release);
             } else {
-                log::info!("stopping: not ready, requests in flight go on to their end");
+                log::info!("stopping: reporting not ready, requests in flight run to completion");
             }
         }
     };
-    let started = thread::Builder::new().name("signals".into()).spawn(watch);
-    started.map_err(|e| e.to_string())?;
-    Ok(hurried)
+    let spawned = thread::Builder::new().name("signals".into()).spawn(watch);
+    spawned.map_err(|e| e.to_string())?;
+    Ok(forced)
 }
 
-fn follow_platform(shared: Arc<Shared>, receiver: platform::Receiver) {
+fn start_platform(shared: Arc<Shared>, receiver: platform::Receiver) {
     let thread = rt::Arbiter::with_name("platform".into());
     thread.handle().spawn(async move {
         rt::spawn(platform::run(shared, receiver));
@@ -140,7 +140,7 @@
     shared: Arc<Shared>,
     receivers: Receivers,
     peer: TcpListener,
-    hurried: Arc<AtomicBool>,
+    forced: Arc<AtomicBool>,
     start: impl FnOnce(Parts) -> Result<Vec<server::Server>, String>,
 ) -> Result<usize, String> {
     let Receivers { broker, dispatch, peers, platform } = receivers;
@@ -150,7 +150,7 @@
     let peer_server = serve_peers(shared.clone(), peer, rings)?;
     let servers = start(Parts { shared: shared.clone(), platform })?;
     log::info!("instance {} serves {}", shared.name, shared.settings.http);
-    let cut = stopped(&shared, &hurried).await;
+    let cut = wait_for_stop(&shared, &forced).await;
     if cut == 0 {
         for server in servers {
             server.stop(true).await;
@@ -167,11 +167,11 @@
     replies: dispatch::Replies,
 ) -> Result<(), String> {
     let run = move || dispatch::run(shared, receiver, replies);
-    let started = thread::Builder::new().name("dispatch".into()).spawn(run);
-    started.map(drop).map_err(|e| e.to_string())
+    let spawned = thread::Builder::new().name("dispatch".into()).spawn(run);
+    spawned.map(drop).map_err(|e| e.to_string())
 }
 
-/// Serves the connections of other instances on one thread, which also owns the asks.
+/// Serves connections from other instances on one thread, which also runs the broker.
 fn serve_peers(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -209,31 +209,32 @@
     let server = server
         .workers(settings.workers)
         .disable_signals()
-        .shutdown_timeout(LAST)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT)
         .config(ntex::SharedCfg::new("http").add(config).build())
         .listen(listener)
         .map_err(|e| e.to_string())?;
     Ok(server.run())
 }
 
-/// Waits for a stop to be asked for, goes on accepting while the balancer lags, and then until no
-/// request is held. Returns how many requests were cut because a second signal came.
-async fn stopped(shared: &Shared, hurried: &AtomicBool) -> usize {
+/// Waits until a stop is requested, keeps accepting requests for as long as the load balancer may still send
+/// them, and then waits until none is in flight. Returns the number of requests that were cut because of a
+/// second signal or because the time for the stop ran out.
+async fn wait_for_stop(shared: &Shared, forced: &AtomicBool) -> usize {
     while !shared.stopping() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let accept = shared.settings.stop_accept_ms * MILLISECOND;
-    let longest = (shared.settings.stop_longest_ms * MILLISECOND) as f64 * GRACE_USED;
-    let since = clock::now();
+    let accept_for = shared.settings.stop_accept_ms * MILLISECOND;
+    let time_limit = (shared.settings.stop_longest_ms * MILLISECOND) as f64 * STOP_TIME_SHARE;
+    let stop_began = clock::now();
     loop {
-        let held = shared.requests.load(Ordering::Acquire);
-        let lasted = clock::now() - since;
-        if hurried.load(Ordering::Acquire) || lasted as f64 >= longest {
-            return held;
+        let in_flight = shared.requests.load(Ordering::Acquire);
+        let elapsed = clock::now() - stop_began;
+        if forced.load(Ordering::Acquire) || elapsed as f64 >= time_limit {
+            return in_flight;
         }
-        if held == 0 && lasted >= accept {
+        if in_flight == 0 && elapsed >= accept_for {
             return 0;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/drumusher/src/process/shared.rs
+++ b/crates/drumusher/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of one process share.
+//! State shared by the threads of one process.
 
 use std::{
     collections::BTreeSet,
@@ -28,93 +28,96 @@
     version::{Directory, Pool, Routing, Version},
 };
 
-/// What the threads of one process share.
+/// State shared by the threads of the process.
 pub struct Shared {
-    /// The settings.
+    /// Settings read at startup.
     pub settings: Settings,
-    /// When the process began.
+    /// Start time of the process.
     pub began: Micros,
-    /// The instance's name.
+    /// Name of this instance.
     pub name: Arc<str>,
-    /// What it writes about itself in the store's table of instances.
+    /// Value under which this instance registers in the store's table of instances.
     pub entry: String,
-    /// The area whose instances and backend servers form one pool: the availability zone, or what
-    /// the settings name instead.
+    /// Area whose instances and backend servers form one pool: the availability zone, or the one named in the
+    /// settings.
     pub area: Arc<str>,
-    /// The configuration in force.
+    /// Configuration in force.
     pub version: ArcSwap<Version>,
-    /// The routes in force, where the configuration is one of routes.
+    /// Routes in force; `None` with a log-service deployment, whose configuration has no routes.
     pub routing: ArcSwapOption<Routing>,
-    /// The store's records, as far as they are known.
+    /// Latest known records of the store's tables.
     records: Mutex<catalog::Records>,
-    /// What the dispatcher counted, to be told.
+    /// Usage counted by the dispatcher that is still to be published.
     tally: Mutex<Tally>,
-    /// What is known of requests that end backend servers.
+    /// Quarantine of requests that crash backend servers.
     quarantine: Mutex<quarantine::Table>,
-    /// How many of them are held back.
+    /// Number of quarantined requests that are held back.
     held: AtomicUsize,
-    /// What backend servers last said of themselves in answers to this instance.
+    /// Limits, back-off periods and departures that backend servers announced in their responses to this
+    /// instance.
     pub notices: Arc<Notices>,
-    /// Whether this instance is one of those that read the store and tell the others.
+    /// Whether this instance reads the store on behalf of the others.
     pub reader: AtomicBool,
-    /// Whether it is the first of them.
+    /// Whether it is the first of these readers by rank.
     pub first_reader: AtomicBool,
-    /// When another instance last told that it reads the store.
+    /// Time at which another instance last reported that it reads the store; 0 if none has.
     pub store_reader_seen: AtomicU64,
-    /// When one that is to tell this instance last said that it gets no answers of the store.
+    /// Time at which a reader that feeds this instance last reported that the store does not answer; 0 if
+    /// none has.
     pub store_outage_reported: AtomicU64,
-    /// Whether the store did not answer the latest call.
+    /// Whether the latest call to the store failed.
     pub store_unavailable: AtomicBool,
-    /// The latest era of the store that is known; 0 before one is.
+    /// Latest known era of the store, which counts its restores from a backup; 0 until one is known.
     store_era: AtomicU64,
-    /// The position in the table of servers before which ends of entries are no lapses.
+    /// Position in the table of servers before which a removed entry is certainly gone and cannot be a lapse.
     confirmed: Mutex<Position>,
-    /// Who is there.
+    /// Known instances and backend servers.
     pub directory: ArcSwap<Directory>,
-    /// Instances that have been out of reach for so long that they count as gone.
+    /// Instances that have been unreachable for so long that they count as gone.
     pub lost: ArcSwap<Vec<Arc<str>>>,
-    /// The pools this instance dispatches.
+    /// Pools dispatched by this instance.
     pub hosted: ArcSwap<Vec<Pool>>,
-    /// Those of them that it dispatches for other instances, or that it dispatches as the only instance.
+    /// Pools among [`Self::hosted`] that this instance dispatches for other instances, or as the only
+    /// instance.
     pub led: ArcSwap<BTreeSet<Pool>>,
-    /// Whether a configuration was read.
+    /// Whether a configuration has been read.
     pub configured: AtomicBool,
     /// Whether the instance is stopping.
     pub stopping: AtomicBool,
-    /// Since when, on the process's clock.
+    /// Start of the planned stop on the process's clock; 0 before.
     pub stopping_since: AtomicU64,
-    /// Requests held now.
+    /// Number of requests in flight.
     pub requests: AtomicUsize,
-    /// To the asks this instance owns.
+    /// Sender to the broker, which holds the asks owned by this instance.
     pub broker: broker::Sender,
-    /// To the decisions.
+    /// Sender to the dispatcher.
     pub dispatch: dispatch::Sender,
-    /// To the connections, for operators' queries.
+    /// Sender to the peer connections, for operators' queries.
     pub peers: peers::Sender,
-    /// To the platform.
+    /// Sender to the platform thread.
     pub platform: platform::Sender,
-    /// Retries that may still be made.
+    /// Retry budgets.
     pub budgets: Budgets,
-    /// Why each recent request fared as it did.
+    /// Explanations of recent requests' outcomes.
     pub explanations: Explanations,
-    /// Metrics and spans.
+    /// Metrics and trace spans.
     pub telemetry: Telemetry,
 }
 
-/// The receiving ends of the rings.
+/// Receiving ends of the queues between threads.
 pub struct Receivers {
-    /// Of the broker.
+    /// Input of the broker.
     pub broker: broker::Receiver,
-    /// Of the decisions.
+    /// Input of the dispatcher.
     pub dispatch: dispatch::Receiver,
-    /// Of the connections.
+    /// Input of the peer connections.
     pub peers: peers::Receiver,
-    /// Of the platform thread.
+    /// Input of the platform thread.
     pub platform: platform::Receiver,
 }
 
 impl Shared {
-    /// What the threads share, with an empty configuration.
+    /// Creates the shared state with an empty configuration, and the receiving ends of its queues.
     pub fn new(settings: Settings, telemetry: Telemetry) -> (Arc<Shared>, Receivers) {
         let (broker, broker_receiver) = broker::ring();
         let (dispatch, dispatch_receiver) = dispatch::ring();
@@ -167,7 +170,7 @@
         (Arc::new(shared), receivers)
     }
 
-    /// Whether the instance takes requests from the balancer.
+    /// Whether the instance is ready for requests from the load balancer.
     pub fn ready(&self) -> bool {
         self.configured.load(Ordering::Acquire) && !self.stopping()
     }
@@ -177,7 +180,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Begins the planned stop. Returns whether it had begun before.
+    /// Starts the planned stop. Returns whether it was already under way.
     pub fn stop(&self) -> bool {
         if self.stopping.swap(true, Ordering::AcqRel) {
             return true;
@@ -186,13 +189,13 @@
         false
     }
 
-    /// How long the instance has been stopping.
+    /// Time since the planned stop started; `None` if it has not.
     pub fn stopping_for(&self) -> Option<Micros> {
         let since = self.stopping_since.load(Ordering::Acquire);
         (since > 0).then(|| clock::now().saturating_sub(since))
     }
 
-    /// Puts a new state into force, unless it is not newer.
+    /// Puts a configuration state into force if it is newer than the current one.
     pub fn publish(&self, state: State) {
         let current = self.version.load_full();
         if state.next <= current.state.next && self.configured.load(Ordering::Acquire) {
@@ -205,7 +208,7 @@
         let _ = self.dispatch.try_send(dispatch::Input::Changed);
     }
 
-    /// Puts a configuration of routes into force, unless it is not newer. Returns whether it is.
+    /// Puts a configuration of routes into force if it is newer than the current one. Returns whether it was.
     pub fn publish_routes(&self, configuration: Configuration) -> bool {
         let current = self.routing.load();
         if current.as_ref().is_some_and(|routing| routing.version() >= configuration.version) {
@@ -218,91 +221,93 @@
         self.version.store(Arc::new(version));
         self.routing.store(Some(Arc::new(Routing::new(configuration))));
         self.configured.store(true, Ordering::Release);
-        // Rings that are full are read soon, and then from what is in force.
+        // A full queue needs no notification: its reader is about to run and reads the configuration in
+        // force.
         let _ = self.dispatch.try_send(dispatch::Input::Changed);
         let _ = self.broker.try_send(broker::Input::Changed);
         true
     }
 
-    /// The store's records, as far as they are known.
+    /// Latest known records of the store's tables.
     pub fn records(&self) -> MutexGuard<'_, catalog::Records> {
         self.records.lock().expect("no holder panics")
     }
 
-    /// What an instance that knows the tables up to `ends` has not seen, of the tables of which that has fewer
-    /// bytes than `most`; `None` if there is nothing. What is confirmed is looked at after the records, since it is
-    /// noted before them: else an end could be told without its confirmation, and be held back for nothing.
-    pub fn update_since(&self, ends: &catalog::Ends, most: usize) -> Option<catalog::Update> {
+    /// Records that an instance lacks if it has read the tables up to `ends`, limited to tables with fewer
+    /// than `max_bytes` bytes to send; `None` if there are none. The confirmed position is read after the
+    /// records because it is stored before them: otherwise a removal could be sent without its confirmation,
+    /// and the receiver would hold it back for nothing.
+    pub fn update_since(&self, ends: &catalog::Ends, max_bytes: usize) -> Option<catalog::Update> {
         let records = self.records();
-        records.since(ends, self.confirmed(), most)
+        records.since(ends, self.confirmed(), max_bytes)
     }
 
-    /// The same of one table, whatever its length, for an instance that knows it up to `known`.
+    /// Like [`Self::update_since`] for one table of any size, for an instance that has read it up to `known`.
     pub fn update_of(&self, table: Table, known: Position) -> Option<catalog::Update> {
         let records = self.records();
         records.of_table(table, known, self.confirmed())
     }
 
-    /// What the dispatcher counted, to be told.
+    /// Usage counted by the dispatcher that is still to be published.
     pub fn tally(&self) -> MutexGuard<'_, Tally> {
         self.tally.lock().expect("no holder panics")
     }
 
-    /// What is known of requests that end backend servers. After a change [`Shared::update_held_count`] is to be called.
+    /// Quarantine of requests that crash backend servers. Call [`Shared::update_held_count`] after a change.
     pub fn quarantine(&self) -> MutexGuard<'_, quarantine::Table> {
         self.quarantine.lock().expect("no holder panics")
     }
 
-    /// Notes how many requests are held back, and says so if that changed.
+    /// Recounts the requests held back, and reports a changed count in the log and the metrics.
     pub fn update_held_count(&self) {
         let held = self.quarantine().held();
         if self.held.swap(held, Ordering::AcqRel) != held {
-            log::warn!(held = held; "requests are held back, since backend servers ended each time they ran");
+            log::warn!(held = held; "requests are held back because backend servers crashed each time they ran them");
             self.telemetry.gauge("drumusher.quarantine.held", held as u64);
         }
     }
 
-    /// Whether a request is held back. Most of the time none is, which costs no lock.
+    /// Whether a request is held back. Takes no lock while none is, which is the usual case.
     pub fn is_held(&self, digest: Digest) -> bool {
         self.held.load(Ordering::Acquire) > 0 && self.quarantine().verdict(digest) == Verdict::Held
     }
 
-    /// Notes how many backend servers have something in force that they said of themselves.
-    pub fn note_notices(&self) {
+    /// Updates the gauges of backend servers that have announced a limit, a departure or a back-off period.
+    pub fn update_notice_gauges(&self) {
         let sum = self.notices.sum(clock::now());
         self.telemetry.gauge("drumusher.servers.limited", sum.limited as u64);
         self.telemetry.gauge("drumusher.servers.leaving", sum.leaving as u64);
         self.telemetry.gauge("drumusher.servers.resting", sum.resting as u64);
     }
 
-    /// The latest era of the store that is known; 0 before one is.
+    /// Latest known era of the store, which counts its restores from a backup; 0 until one is known.
     pub fn store_era(&self) -> Era {
         self.store_era.load(Ordering::Acquire)
     }
 
-    /// Notes the latest era of the store.
+    /// Sets the latest known era of the store.
     pub fn note_store_era(&self, era: Era) {
         self.store_era.store(era, Ordering::Release);
     }
 
-    /// The position in the table of servers before which ends of entries are no lapses, as far as is known.
+    /// Latest known position in the table of servers before which a removed entry is certainly gone.
     pub fn confirmed(&self) -> Position {
         *self.confirmed.lock().expect("no holder panics")
     }
 
-    /// Ends of entries before this position are no lapses, as this instance saw or another one tells.
+    /// Advances the confirmed position to `confirmed`, as read by this instance or reported by another one.
     pub fn confirm(&self, confirmed: Position) {
         let mut known = self.confirmed.lock().expect("no holder panics");
         *known = confirmed.max(*known);
     }
 
-    /// Whether this instance is known to be listed in the store as it is.
+    /// Whether the store is known to hold this instance's current registration.
     pub fn is_registered(&self) -> bool {
         let records = self.records();
         records.value(Table::Instances, &self.name) == Some(self.entry.as_str())
     }
 
-    /// How far this instance has followed the configuration and, with a store, the backend servers.
+    /// Position up to which this instance has read the configuration and, with a store, the backend servers.
     pub fn position(&self) -> u64 {
         if self.settings.store.is_some() {
             return self.records().position();
@@ -310,7 +315,7 @@
         self.version.load().state.next
     }
 
-    /// Replaces the directory if it changed. Returns whether it did.
+    /// Replaces the directory if it differs. Returns whether it did.
     pub fn publish_directory(&self, directory: Directory) -> bool {
         if **self.directory.load() == directory {
             return false;
--- a/crates/drumusher/src/process/telemetry.rs
+++ b/crates/drumusher/src/process/telemetry.rs
@@ -1,7 +1,7 @@
-//! Metrics and spans.
+//! Metrics and trace spans.
 //!
-//! Nothing here can slow a request: counters are in memory, and spans go through a bounded queue
-//! that drops and counts what it cannot take.
+//! Nothing here can delay a request: counters are kept in memory, and spans go through a bounded queue that
+//! drops and counts what does not fit.
 
 use std::{
     collections::VecDeque,
@@ -27,10 +27,10 @@
 
 use crate::settings::Settings;
 
-/// Spans remembered for `show request`.
-const SPANS: usize = 4_096;
+/// Number of ended spans kept for `show request`.
+const MAX_RECENT_SPANS: usize = 4_096;
 
-/// Metrics and spans of one process.
+/// Metrics and trace spans of one process.
 pub struct Telemetry {
     registry: Registry,
     meter: Meter,
@@ -38,7 +38,7 @@
     gauges: Mutex<std::collections::HashMap<&'static str, Gauge<u64>>>,
     /// Requests by class and outcome.
     requests: Counter<u64>,
-    /// Tokens relayed by class.
+    /// Relayed tokens by class.
     tokens: Counter<u64>,
     /// Time to the first token, in seconds.
     first_token: Histogram<f64>,
@@ -49,7 +49,7 @@
     traces: SdkTracerProvider,
 }
 
-/// The latest ended spans, in memory.
+/// The most recently ended spans, in memory.
 #[derive(Clone, Default)]
 struct Recent(Arc<Mutex<VecDeque<SpanData>>>);
 
@@ -64,7 +64,7 @@
 
     fn on_end(&self, span: SpanData) {
         let mut spans = self.0.lock().expect("no holder panics");
-        if spans.len() == SPANS {
+        if spans.len() == MAX_RECENT_SPANS {
             spans.pop_front();
         }
         spans.push_back(span);
@@ -80,11 +80,11 @@
 }
 
 impl Telemetry {
-    /// Sets up metrics and spans; exports them if the settings name a collector.
+    /// Sets up metrics and spans, and exports them if the settings name a collector.
     ///
     /// # Errors
     ///
-    /// A sentence, if an exporter cannot be made.
+    /// A message for the operator if an exporter cannot be created.
     pub fn new(settings: &Settings) -> Result<Self, String> {
         let registry = Registry::new();
         let reader = opentelemetry_prometheus::exporter()
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Adds one to a counter that is not on the path of each request.
+    /// Adds one to a counter. Looks it up under a lock, so this is not for the path of every request.
     pub fn count(&self, name: &'static str, attributes: &[(&'static str, &str)]) {
         let attributes: Vec<KeyValue> =
             attributes.iter().map(|(key, value)| KeyValue::new(*key, value.to_string())).collect();
@@ -148,7 +148,7 @@
         gauges.entry(name).or_insert_with(make).record(value, &[]);
     }
 
-    /// Counts a decision.
+    /// Counts an order of the dispatcher by kind.
     pub fn count_order(&self, order: &Order) {
         let kind = match order {
             Order::Grant { .. } => "grant",
@@ -158,7 +158,7 @@
         self.orders.add(1, &[KeyValue::new("order", kind)]);
     }
 
-    /// Counts a request that ended, by class and outcome.
+    /// Counts a finished request by class and outcome, and its tokens by class.
     pub fn count_request(&self, class: &str, outcome: &'static str, tokens: u64) {
         let class = KeyValue::new("class", class.to_string());
         self.requests.add(1, &[class.clone(), KeyValue::new("outcome", outcome)]);
@@ -170,19 +170,19 @@
         self.first_token.record(seconds, &[KeyValue::new("class", class.to_string())]);
     }
 
-    /// Where spans are made.
+    /// The tracer that creates spans.
     pub fn tracer(&self) -> &SdkTracer {
         &self.tracer
     }
 
-    /// The remembered spans of a trace, in hexadecimal as callers see it.
+    /// The kept spans of a trace, whose ID is given in hexadecimal as callers see it.
     pub fn spans_of(&self, trace: &str) -> Vec<SpanData> {
         let spans = self.spans.0.lock().expect("no holder panics");
         let of_trace = |span: &&SpanData| span.span_context.trace_id().to_string() == trace;
         spans.iter().filter(of_trace).cloned().collect()
     }
 
-    /// The metrics as plain text.
+    /// The metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buffer = Vec::new();
         let written = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
@@ -192,7 +192,7 @@
         String::from_utf8_lossy(&buffer).into_owned()
     }
 
-    /// Sends out what the exporters still hold.
+    /// Exports the spans that are still queued.
     pub fn flush(&self) {
         let _ = self.traces.force_flush();
     }
