--- a/crates/drumusher/src/process/platform/append.rs
+++ b/crates/drumusher/src/process/platform/append.rs
@@ -1,5 +1,5 @@
-//! Appends, batched: one append in flight for each stream, and a pause between two that keeps all
-//! instances together within the platform's budget.
+//! Batched appends to the log: one append in flight at a time, followed by a pause that keeps all instances
+//! together within the platform's budget.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
@@ -12,40 +12,40 @@
 use super::Context;
 use crate::process::clock;
 
-/// Most records in one append.
-const BATCH: usize = 512;
-/// Most records waiting for a stream; the platform is away when there are more.
-const WAITING: usize = 8_192;
-/// Records that could not be appended for so long are given up.
-const LONGEST: u64 = 30 * drumusher_schedule::time::SECOND;
-/// Pause after a failure.
-const AGAIN: Millis = Millis(100);
+/// Maximum number of records in one append.
+const MAX_BATCH_RECORDS: usize = 512;
+/// Maximum number of records waiting for one stream; more pile up only while the platform is unavailable.
+const MAX_WAITING_RECORDS: usize = 8_192;
+/// Maximum age of a waiting record, in microseconds; older ones are dropped after a failed append.
+const MAX_RECORD_AGE: u64 = 30 * drumusher_schedule::time::SECOND;
+/// Pause after a failed append.
+const RETRY_PAUSE: Millis = Millis(100);
 
-/// Records, each with the time since when it waits.
+/// Records, each with the time at which it was queued.
 type Batch = Vec<(u64, Vec<u8>)>;
 
 /// Records waiting to be appended, by stream.
 #[derive(Clone)]
 pub(super) struct Queue {
     streams: Rc<RefCell<BTreeMap<&'static str, Batch>>>,
-    /// Wakes the appender; the runtime's timers are too coarse to look for work every so often.
+    /// Wakes the appender. Polling is no alternative: the runtime's timers are too coarse.
     wake: async_channel::Sender<()>,
     woken: async_channel::Receiver<()>,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub(super) fn new() -> Self {
         let (wake, woken) = async_channel::bounded(1);
         Queue { streams: Rc::default(), wake, woken }
     }
 
-    /// Adds a record. A record may be appended twice: the folds ignore what they have seen.
-    /// Returns whether there was room.
+    /// Queues a record. Returns whether there was room. A record may be appended twice: its readers ignore
+    /// duplicates.
     pub(super) fn push(&self, stream: &'static str, body: Vec<u8>) -> bool {
         let mut streams = self.streams.borrow_mut();
         let waiting = streams.entry(stream).or_default();
-        if waiting.len() >= WAITING {
+        if waiting.len() >= MAX_WAITING_RECORDS {
             return false;
         }
         waiting.push((clock::now(), body));
@@ -55,15 +55,16 @@
 
     fn take(&self) -> Option<(&'static str, Batch)> {
         let mut streams = self.streams.borrow_mut();
-        // The few commands of operators go before the many claims.
+        // In reverse order of names: the few operators' commands ("config") go before the many claims
+        // ("claims").
         let (stream, waiting) =
             streams.iter_mut().rev().find(|(_, waiting)| !waiting.is_empty())?;
-        let batch = waiting.len().min(BATCH);
+        let batch = waiting.len().min(MAX_BATCH_RECORDS);
         Some((*stream, waiting.drain(..batch).collect()))
     }
 
-    fn put_back(&self, stream: &'static str, mut batch: Batch) {
-        let oldest = clock::now().saturating_sub(LONGEST);
+    fn requeue(&self, stream: &'static str, mut batch: Batch) {
+        let oldest = clock::now().saturating_sub(MAX_RECORD_AGE);
         batch.retain(|(since, _)| *since >= oldest);
         let mut streams = self.streams.borrow_mut();
         let waiting = streams.entry(stream).or_default();
@@ -72,7 +73,7 @@
     }
 }
 
-/// Appends what waits, for ever.
+/// Appends queued records; never returns.
 pub(super) async fn run(context: Context) {
     let address = context.shared.settings.log_service.to_string();
     let log = Service::new(context.http.clone(), &address);
@@ -86,22 +87,22 @@
         match log.append(stream, &bodies).await {
             Ok(_) => sleep(pause(&context)).await,
             Err(error) => {
-                note(&context, stream, &error);
-                context.appends.put_back(stream, batch);
-                sleep(AGAIN).await;
+                record_failure(&context, stream, &error);
+                context.appends.requeue(stream, batch);
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// The pause that keeps this instance within its part of the budget.
+/// Pause that keeps this instance within its share of the appends allowed per second.
 fn pause(context: &Context) -> Millis {
     let instances = context.shared.directory.load().instances.len().max(1) as u64;
     let budget = u64::from(context.shared.settings.platform.appends_per_second);
     Millis((instances * 1_000 / budget).max(1) as u32)
 }
 
-fn note(context: &Context, stream: &str, error: &Error) {
+fn record_failure(context: &Context, stream: &str, error: &Error) {
     context.shared.telemetry.count("drumusher.log.append_failures", &[]);
-    log::warn!("an append to {stream} failed: the log service {error}");
+    log::warn!("append to {stream} failed: the log service {error}");
 }
--- a/crates/drumusher/src/process/platform/claims.rs
+++ b/crates/drumusher/src/process/platform/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: who may run a request that may not be repeated.
+//! Claims: which attempt may run a request that must not be repeated.
 
 use std::collections::HashMap;
 
@@ -17,21 +17,21 @@
 
 /// The stream of claims.
 const CLAIMS: &str = "claims";
-/// Most records in one read.
-const PAGE: usize = 1_024;
-/// How long a read waits for a record.
+/// Maximum number of records in one read.
+const MAX_READ_RECORDS: usize = 1_024;
+/// Long-poll wait of a read, in milliseconds.
 const WAIT_MS: u64 = 1_000;
-/// Pause after a failure.
-const AGAIN: Millis = Millis(100);
+/// Pause after a failed read.
+const RETRY_PAUSE: Millis = Millis(100);
 
-/// How a claim ended.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Claimed {
-    /// This attempt holds the key: hand the request over.
+    /// This attempt holds the key: send the request.
     Won,
-    /// Another claim was first.
+    /// Another attempt claimed the key first.
     Lost(Box<Claim>),
-    /// The log did not confirm it in time: do not hand over.
+    /// The log did not confirm the claim in time: do not send the request.
     Unconfirmed,
 }
 
@@ -40,17 +40,17 @@
     reply: async_channel::Sender<Claimed>,
 }
 
-/// The folded claims and who waits for which attempt.
+/// Claims read from the log, and the attempts that wait for their result.
 #[derive(Default)]
 pub(super) struct Claims {
     index: Index,
     waiting: HashMap<Attempt, Waiting>,
-    /// Own claims that ended and whose end is not read back yet.
+    /// This instance's claims whose requests have ended, until the end is read back from the log.
     ended: HashMap<Key, (Attempt, Answer)>,
 }
 
 impl Claims {
-    fn fold(&mut self, offset: u64, time_ms: u64, body: &[u8]) {
+    fn apply_record(&mut self, offset: u64, time_ms: u64, body: &[u8]) {
         let record = self.index.apply(offset, time_ms, body);
         if let Some(Record::Done { key, .. }) = &record {
             self.ended.remove(key);
@@ -69,7 +69,7 @@
         let _ = waiting.reply.try_send(claimed);
     }
 
-    /// The claim that is known to hold a key. Of an own one the end is known before it is read.
+    /// The claim known to hold a key. The end of this instance's own claim is known before it is read back.
     fn known(&self, key: Key) -> Option<Claim> {
         let mut claim = self.index.get(key)?.clone();
         if let Some((attempt, answer)) = self.ended.get(&key)
@@ -81,7 +81,7 @@
     }
 }
 
-/// Claims `key`, unless it is known to be claimed already.
+/// Claims `key`, unless it is known to be claimed already. The result is sent to `reply`.
 pub(super) fn claim(
     context: &Context,
     key: Key,
@@ -101,12 +101,12 @@
         return;
     }
     context.claims.borrow_mut().waiting.insert(attempt, Waiting { key, reply });
-    rt::spawn(give_up(context.clone(), attempt));
+    rt::spawn(time_out(context.clone(), attempt));
 }
 
-/// Ends the wait for a claim that the log does not confirm in time. The claim may still come into
-/// the log, so it is released; nothing was handed over.
-async fn give_up(context: Context, attempt: Attempt) {
+/// Ends the wait for a claim that the log does not confirm in time. The claim may still reach the log, so it
+/// is released; the request was not sent.
+async fn time_out(context: Context, attempt: Attempt) {
     let longest = context.shared.settings.platform.claim_ms;
     sleep(Millis(longest as u32)).await;
     let waiting = context.claims.borrow_mut().waiting.remove(&attempt);
@@ -116,24 +116,24 @@
     }
 }
 
-/// Gives a claim back: nothing was handed over. Goes after the claim in the same queue, so that it
-/// follows it in the log.
+/// Releases a claim whose request was not sent. The record goes through the same queue as the claim, so it
+/// follows the claim in the log.
 pub(super) fn release(context: &Context, key: Key, attempt: Attempt) {
     push(context, &Record::Release { key, attempt });
 }
 
-/// Notes that a claimed request ran.
+/// Records that a claimed request ran, with its response.
 pub(super) fn done(context: &Context, key: Key, attempt: Attempt, answer: Answer) {
     context.claims.borrow_mut().ended.insert(key, (attempt, answer.clone()));
     push(context, &Record::Done { key, attempt, answer });
 }
 
 fn push(context: &Context, record: &Record) -> bool {
-    let body = serde_json::to_vec(record).expect("records can be written");
+    let body = serde_json::to_vec(record).expect("records serialize to JSON");
     context.appends.push(CLAIMS, body)
 }
 
-/// Follows the stream, for ever.
+/// Follows the stream; never returns.
 pub(super) async fn follow(context: Context) {
     let address = context.shared.settings.log_service.to_string();
     let log = Service::new(context.http.clone(), &address);
@@ -142,13 +142,13 @@
         if let Err(error) = step(&context, &log, next).await {
             context.shared.telemetry.count("drumusher.log.read_failures", &[]);
             log::debug!("claims cannot be read: the log service {error}");
-            sleep(AGAIN).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 async fn step(context: &Context, log: &Service, next: u64) -> Result<(), Error> {
-    let records = match log.read(CLAIMS, next, PAGE, WAIT_MS).await? {
+    let records = match log.read(CLAIMS, next, MAX_READ_RECORDS, WAIT_MS).await? {
         Page::Records(records) => records,
         Page::Gone(first) => {
             context.claims.borrow_mut().index = Index::new(first);
@@ -158,7 +158,7 @@
     let retention = context.shared.settings.platform.retention_ms;
     let mut claims = context.claims.borrow_mut();
     for record in &records {
-        claims.fold(record.offset, record.time_ms, &record.body);
+        claims.apply_record(record.offset, record.time_ms, &record.body);
     }
     claims.index.forget_before(clock::unix_ms().saturating_sub(retention));
     let held = claims.index.len() as u64;
--- a/crates/drumusher/src/process/platform/configuration.rs
+++ b/crates/drumusher/src/process/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Following the configuration stream, passing records on, and writing snapshots.
+//! Follows the configuration stream, keeps its latest records for other instances, and writes snapshots.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -19,47 +19,47 @@
 use super::Context;
 use crate::process::peers;
 
-/// The stream of the operators' commands.
+/// Stream of operators' commands.
 pub const CONFIGURATION: &str = "config";
-/// Most records in one read.
-const PAGE: usize = 512;
-/// How long a read waits for a record.
+/// Maximum number of records in one read.
+const MAX_READ_RECORDS: usize = 512;
+/// Long-poll wait of a read, in milliseconds.
 const WAIT_MS: u64 = 1_000;
-/// Pause after a failure.
-const AGAIN: Millis = Millis(150);
-/// Records kept to pass on to other instances.
-const RECENT: usize = 1_024;
+/// Pause after a failed read.
+const RETRY_PAUSE: Millis = Millis(150);
+/// Number of latest records kept for other instances.
+const MAX_RECENT_RECORDS: usize = 1_024;
 
-/// The latest records, to pass on. Of the process, because the peers thread reads it.
+/// Latest records, for other instances. A static, because the peers thread reads it as well.
 static RECENT_RECORDS: Mutex<VecDeque<Kept>> = Mutex::new(VecDeque::new());
 
-/// The records from `offset` on, if all of them are at hand.
+/// The records from `offset` on, if all of them are still kept.
 pub fn recent_from(offset: u64) -> Option<peer::Records> {
     let recent = RECENT_RECORDS.lock().expect("no holder panics");
     let first = recent.front()?.offset;
     let start = usize::try_from(offset.checked_sub(first)?).ok()?;
     let rest: Vec<&Kept> = recent.iter().skip(start).collect();
-    let joins = rest.first().is_some_and(|kept| kept.offset == offset);
-    joins.then(|| {
+    let contiguous = rest.first().is_some_and(|kept| kept.offset == offset);
+    contiguous.then(|| {
         let bodies = rest.iter().map(|kept| kept.body.clone()).collect();
         let times = rest.iter().map(|kept| kept.time_ms as i64).collect();
         peer::Records::new(offset as i64, bodies, times)
     })
 }
 
-fn keep(kept: &Kept) {
+fn remember(kept: &Kept) {
     let mut recent = RECENT_RECORDS.lock().expect("no holder panics");
-    let joins = recent.back().is_none_or(|last| last.offset + 1 == kept.offset);
-    if !joins {
+    let contiguous = recent.back().is_none_or(|last| last.offset + 1 == kept.offset);
+    if !contiguous {
         recent.clear();
     }
-    if recent.len() == RECENT {
+    if recent.len() == MAX_RECENT_RECORDS {
         recent.pop_front();
     }
     recent.push_back(kept.clone());
 }
 
-/// The fold's state and who waits for a verdict.
+/// The state built from the stream, and the commands that wait for a verdict.
 #[derive(Default)]
 pub(super) struct Follower {
     state: Option<State>,
@@ -67,8 +67,13 @@
 }
 
 impl Follower {
-    /// Tells `reply` when the command with `nonce` is read back.
-    pub(super) fn wait(&mut self, nonce: String, reply: async_channel::Sender<(u64, Verdict)>) {
+    /// Sends the offset and verdict of the command with `nonce` to `reply` once it is read back from the
+    /// stream.
+    pub(super) fn notify_when_read(
+        &mut self,
+        nonce: String,
+        reply: async_channel::Sender<(u64, Verdict)>,
+    ) {
         let known = self.state.as_ref().and_then(|state| state.command(&nonce));
         if let Some(command) = known {
             let _ = reply.try_send((command.offset, command.verdict.clone()));
@@ -78,8 +83,8 @@
         self.waiting.insert(nonce, reply);
     }
 
-    /// Folds records that join on. Returns whether the state changed.
-    fn fold(&mut self, records: &[Kept]) -> bool {
+    /// Applies the records that continue the state. Returns whether the state changed.
+    fn apply_records(&mut self, records: &[Kept]) -> bool {
         if self.state.is_none() && records.first().is_some_and(|first| first.offset == 0) {
             self.state = Some(State::new());
         }
@@ -92,26 +97,26 @@
                 continue;
             }
             apply(state, kept.offset, kept.time_ms, &kept.body);
-            keep(kept);
+            remember(kept);
         }
         if state.next == before {
             return false;
         }
-        self.tell();
+        self.notify_waiting();
         true
     }
 
-    /// Takes a whole state if it is newer.
+    /// Replaces the state by `state` if that is newer. Returns whether it was.
     fn adopt(&mut self, state: State) -> bool {
         let newer = self.state.as_ref().is_none_or(|own| state.next > own.next);
         if newer {
             self.state = Some(state);
-            self.tell();
+            self.notify_waiting();
         }
         newer
     }
 
-    fn tell(&mut self) {
+    fn notify_waiting(&mut self) {
         let Some(state) = &self.state else {
             return;
         };
@@ -133,7 +138,7 @@
     }
 }
 
-/// Follows the stream, for ever.
+/// Follows the stream; never returns.
 pub(super) async fn follow(context: Context) {
     let address = context.shared.settings.log_service.to_string();
     let log = Service::new(context.http.clone(), &address);
@@ -145,20 +150,20 @@
         };
         if let Err(error) = done {
             context.shared.telemetry.count("drumusher.log.read_failures", &[]);
-            log::debug!("configuration cannot be read: the log service {error}");
+            log::debug!("the configuration cannot be read: the log service {error}");
             if next.is_none() {
                 let _ = context.shared.peers.try_send(peers::Input::Seek);
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 async fn step(context: &Context, log: &Service, next: u64) -> Result<(), Error> {
-    match log.read(CONFIGURATION, next, PAGE, WAIT_MS).await? {
+    match log.read(CONFIGURATION, next, MAX_READ_RECORDS, WAIT_MS).await? {
         Page::Records(records) => {
             let records: Vec<Kept> = records.into_iter().map(kept).collect();
-            let changed = context.configuration.borrow_mut().fold(&records);
+            let changed = context.configuration.borrow_mut().apply_records(&records);
             if changed {
                 publish(context);
             }
@@ -180,7 +185,9 @@
         Page::Gone(first) => first,
     };
     let Some(state) = read_all(context, log, first).await? else {
-        log::warn!("the log's oldest records are gone and it has no usable snapshot");
+        log::warn!(
+            "the oldest records of the configuration stream are gone and it holds no usable snapshot"
+        );
         return Err(Error::Malformed("no usable snapshot".into()));
     };
     let adopted = context.configuration.borrow_mut().adopt(state);
@@ -190,7 +197,7 @@
     Ok(())
 }
 
-/// Reads from the oldest kept record to the end, and finds the state.
+/// Rebuilds the state from all records from the oldest available one, `first`, to the end of the stream.
 async fn read_all(context: &Context, log: &Service, first: u64) -> Result<Option<State>, Error> {
     let mut boot = Boot::new(first);
     let own = context.configuration.borrow().state.clone();
@@ -199,8 +206,9 @@
     }
     let mut next = first;
     loop {
-        let Page::Records(records) = log.read(CONFIGURATION, next, PAGE, 0).await? else {
-            return Err(Error::Malformed("records went while they were read".into()));
+        let Page::Records(records) = log.read(CONFIGURATION, next, MAX_READ_RECORDS, 0).await?
+        else {
+            return Err(Error::Malformed("records expired while they were read".into()));
         };
         let Some(last) = records.last() else {
             return Ok(boot.finish());
@@ -216,25 +224,26 @@
     Kept { offset: record.offset, time_ms: record.time_ms, body: record.body }
 }
 
-/// Records that another instance passed on. Those that do not join on wait for the log.
+/// Applies records relayed by another instance. Those that do not continue the state are ignored: the log
+/// will bring them.
 pub(super) fn relayed(context: &Context, records: peer::Records) {
     let first = records.first.max(0) as u64;
     let offsets = first..;
     let bodies = records.bodies.into_iter().zip(records.times);
-    let joined = offsets.zip(bodies).map(|(offset, (body, time))| Kept {
+    let kept_records = offsets.zip(bodies).map(|(offset, (body, time))| Kept {
         offset,
         time_ms: time.max(0) as u64,
         body,
     });
-    let records: Vec<Kept> = joined.collect();
-    let changed = context.configuration.borrow_mut().fold(&records);
+    let records: Vec<Kept> = kept_records.collect();
+    let changed = context.configuration.borrow_mut().apply_records(&records);
     if changed {
         context.shared.telemetry.count("drumusher.config.relayed", &[]);
         publish(context);
     }
 }
 
-/// A whole state that another instance offers.
+/// Adopts a whole state offered by another instance, if it is newer.
 pub(super) fn offered(context: &Context, snapshot: &[u8]) {
     let Ok(state) = serde_json::from_slice::<State>(snapshot) else {
         return;
@@ -246,13 +255,13 @@
     }
 }
 
-/// Appends a snapshot whenever enough records came since the last one. Several instances may do
-/// so at once; a duplicate or late one does no harm.
-pub(super) async fn snapshots(context: Context) {
+/// Appends a snapshot whenever enough records have come since the last one. Several instances may do so at
+/// once; a duplicate or late snapshot does no harm.
+pub(super) async fn write_snapshots(context: Context) {
     let every = context.shared.settings.platform.snapshot_every;
     let mut last = 0;
     loop {
-        // Instances take turns by chance, so that one is usually first.
+        // A random pause makes it likely that one instance writes its snapshot before the others check.
         let pause = 500 + rand::random_range(0..1_500);
         sleep(Millis(pause)).await;
         let state = context.configuration.borrow().state.clone();
@@ -272,7 +281,7 @@
     }
 }
 
-/// The offset of the latest snapshot among the recent records.
+/// Offset of the latest snapshot among the kept records.
 fn latest_snapshot() -> Option<u64> {
     let recent = RECENT_RECORDS.lock().expect("no holder panics");
     let mut snapshots =
--- a/crates/drumusher/src/process/platform/load.rs
+++ b/crates/drumusher/src/process/platform/load.rs
@@ -1,4 +1,4 @@
-//! Reading the load reports of the backend servers that this instance dispatches.
+//! Polls the load reports of the engines in the pools that this instance dispatches.
 
 use drumusher_platform::load::{Load, State, Status};
 use drumusher_schedule::time::SECOND;
@@ -13,16 +13,16 @@
     version::{Backend, Pool},
 };
 
-/// Longest time for which an engine is believed to take no more, in seconds, unless it says so again.
-const LONGEST_FULL_S: u64 = 60;
+/// Longest time, in seconds, for which an engine counts as saturated unless it reports so again.
+const MAX_SATURATED_S: u64 = 60;
 
-/// Reads all reports every so often, for ever.
+/// Reads all reports at the configured interval; never returns.
 pub(super) async fn follow(context: Context) {
     let pause = Millis(context.shared.settings.platform.load_ms as u32);
     loop {
         let directory = context.shared.directory.load_full();
         let pools = context.shared.hosted.load_full();
-        // Only engines have a load report; a plain service would take the read for a call.
+        // Only engines have a load report; a plain service would treat the read as a request.
         for pool in pools.iter().filter(|pool| matches!(pool, Pool::Model(_))) {
             let area = &context.shared.area;
             for backend in directory.backends(pool, area) {
@@ -46,7 +46,7 @@
             age: 0,
             running: 0,
             waiting: 0,
-            full: Some(seconds.min(LONGEST_FULL_S) * SECOND),
+            full: Some(seconds.min(MAX_SATURATED_S) * SECOND),
         }),
         Err(_) => {
             context.shared.telemetry.count("drumusher.load.failures", &[]);
--- a/crates/drumusher/src/process/platform/members.rs
+++ b/crates/drumusher/src/process/platform/members.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list of instances and backend servers.
+//! Polls the platform's list of instances and backend servers.
 
 use std::cell::RefCell;
 
@@ -9,18 +9,18 @@
 use crate::version::Directory;
 
 thread_local! {
-    /// The latest list, to be joined again with each new configuration.
+    /// The latest list, merged again with each new configuration.
     static LATEST: RefCell<List> = RefCell::default();
 }
 
-/// Joins the latest list with the configuration in force.
+/// Rebuilds the directory from the latest list and the configuration in force.
 pub(super) fn rebuild(context: &Context) {
     let state = context.shared.version.load().state.clone();
     let directory = LATEST.with_borrow(|list| Directory::new(list, &state));
     context.shared.publish_directory(directory);
 }
 
-/// Follows the list, for ever. While it is away the latest one stays in use.
+/// Polls the list; never returns. While it cannot be read, the latest one stays in use.
 pub(super) async fn follow(context: Context) {
     let settings = &context.shared.settings;
     let members = Service::new(context.http.clone(), &settings.members.to_string());
--- a/crates/drumusher/src/process/platform/mod.rs
+++ b/crates/drumusher/src/process/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform thread: the log, the list of instances, load reports.
+//! The platform thread: the log, the member list, load reports.
 
 mod append;
 mod claims;
@@ -18,58 +18,58 @@
 
 use super::{Shared, ring};
 
-/// Places in the ring.
-const RING: usize = 16_384;
-/// Longest time of one request to the platform.
+/// Capacity of the platform thread's input queue, in messages.
+const QUEUE_MESSAGES: usize = 16_384;
+/// Timeout of a request to the platform.
 const TIMEOUT: Millis = Millis(3_000);
 
-/// What the platform thread is told.
+/// Input of the platform thread.
 pub enum Input {
-    /// Append an operator's command and tell its verdict when it is read back.
+    /// Append an operator's command, and send its verdict once it is read back from the log.
     Command {
         /// Its nonce.
         nonce: String,
-        /// The record.
+        /// The record, as JSON.
         body: Vec<u8>,
-        /// Told the offset and the verdict.
+        /// Receives the offset and the verdict.
         reply: async_channel::Sender<(u64, Verdict)>,
     },
-    /// Claim a request that may not be repeated.
+    /// Claim a request that must not be repeated.
     Claim {
-        /// What is claimed.
+        /// The claimed key.
         key: claim::Key,
-        /// By which attempt.
+        /// The attempt that claims it.
         attempt: claim::Attempt,
         /// Hash of the request.
         request: u64,
-        /// Told how the claim ended.
+        /// Receives the result of the claim.
         reply: async_channel::Sender<Claimed>,
     },
-    /// Give a claim back: nothing was handed over.
+    /// Release a claim whose request was not sent.
     Release(claim::Key, claim::Attempt),
-    /// A claimed request ran.
+    /// A claimed request ran; its response.
     Done(claim::Key, claim::Attempt, claim::Answer),
-    /// Configuration records from another instance.
+    /// Configuration records relayed by another instance.
     Records(peer::Records),
-    /// The configuration state of another instance, after its name.
+    /// Name of another instance and its state: the configuration, or with a store an update of its tables.
     State(Arc<str>, Vec<u8>),
-    /// Another instance wants to be entered in the store: its name and its entry.
+    /// Another instance asks to be registered in the store: its name and its entry.
     Register(String, String),
-    /// What is known of requests that end backend servers changed: the store is to be told.
+    /// The quarantine of these requests changed and is to be written to the store.
     Quarantine(Vec<Digest>),
 }
 
-/// The sending end of the platform ring.
+/// Sending end of the platform thread's input queue.
 pub type Sender = ring::TaskSender<Input>;
-/// The receiving end of the platform ring.
+/// Receiving end of the platform thread's input queue.
 pub type Receiver = ring::TaskReceiver<Input>;
 
-/// The platform ring.
+/// Creates the platform thread's input queue.
 pub fn ring() -> (Sender, Receiver) {
-    ring::to_task(RING)
+    ring::to_task(QUEUE_MESSAGES)
 }
 
-/// What the tasks of the platform thread share.
+/// State shared by the tasks of the platform thread.
 #[derive(Clone)]
 struct Context {
     shared: Arc<Shared>,
@@ -79,12 +79,12 @@
     appends: append::Queue,
 }
 
-/// Runs the platform thread's tasks on the current thread until the ring is closed.
+/// Runs the platform thread's tasks on the current thread until the input queue is closed.
 pub async fn run(shared: Arc<Shared>, receiver: Receiver) {
     let http = match Http::new(TIMEOUT).await {
         Ok(http) => http,
         Err(error) => {
-            log::error!("no client for the platform: {error}");
+            log::error!("cannot create a client for the platform: {error}");
             return;
         }
     };
@@ -96,20 +96,20 @@
         appends: append::Queue::new(),
     };
     rt::spawn(configuration::follow(context.clone()));
-    rt::spawn(configuration::snapshots(context.clone()));
+    rt::spawn(configuration::write_snapshots(context.clone()));
     rt::spawn(claims::follow(context.clone()));
     rt::spawn(append::run(context.clone()));
     rt::spawn(members::follow(context.clone()));
     rt::spawn(load::follow(context.clone()));
     while let Ok(input) = receiver.recv().await {
-        take(&context, input);
+        handle(&context, input);
     }
 }
 
-fn take(context: &Context, input: Input) {
+fn handle(context: &Context, input: Input) {
     match input {
         Input::Command { nonce, body, reply } => {
-            context.configuration.borrow_mut().wait(nonce, reply);
+            context.configuration.borrow_mut().notify_when_read(nonce, reply);
             context.appends.push(CONFIGURATION, body);
         }
         Input::Claim { key, attempt, request, reply } => {
@@ -119,7 +119,7 @@
         Input::Done(key, attempt, answer) => claims::done(context, key, attempt, answer),
         Input::Records(records) => configuration::relayed(context, records),
         Input::State(_, snapshot) => configuration::offered(context, &snapshot),
-        // Only with a store, whose tasks take the other end of this ring.
+        // Only sent with a store, where `catalog::run` reads this queue instead.
         Input::Register(..) | Input::Quarantine(_) => {}
     }
 }
