--- a/crates/drumusher-platform/src/catalog.rs
+++ b/crates/drumusher-platform/src/catalog.rs
@@ -1,5 +1,5 @@
-//! The platform's store of small records: the configuration, the backend servers, the instances, and the requests
-//! that end backend servers.
+//! The platform's store of small records: the configuration, the backend servers, the instances, and the
+//! quarantine of requests that crash backend servers.
 
 use drumusher_log::position::Position;
 
@@ -8,21 +8,21 @@
     routing::{Configuration, Server},
 };
 
-/// What a table of the store holds.
+/// A table of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Table {
-    /// The operators' configuration, one record.
+    /// The operators' configuration, in one record.
     Configuration,
-    /// Backend servers by identity.
+    /// Backend servers by ID.
     Servers,
     /// Instances by name.
     Instances,
-    /// Requests that end backend servers, by digest.
+    /// Quarantined requests, by digest.
     Quarantine,
 }
 
 impl Table {
-    /// Its word in logs and metrics.
+    /// Its name in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Table::Configuration => "configuration",
@@ -33,38 +33,39 @@
     }
 }
 
-/// What stands for a key or a value whose bytes are no text. It names nothing, like each value that cannot be
-/// understood, and is told on as it is.
+/// Replacement for a key or value that is not valid UTF-8. Like every value that cannot be parsed it
+/// describes no object; it is passed on to other instances unchanged.
 pub const UNREADABLE: &str = "";
 
-/// The newest value of a key, or its end.
+/// The latest value of a key, or its removal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The key.
     pub key: String,
-    /// The value; `None` if the key is gone.
+    /// The value; `None` if the key was removed.
     pub value: Option<String>,
 }
 
-/// All keys of a table.
+/// The content of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The newest record of each key.
+    /// The latest record of each key.
     pub records: Vec<Record>,
-    /// The position from which to read on.
+    /// The position from which to continue reading.
     pub end: Position,
 }
 
-/// What a read of changes brought.
+/// Result of reading changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Changes {
-    /// Records in their order, and the position from which to read on.
+    /// Records in order, and the position from which to continue reading.
     Records(Vec<Record>, Position),
-    /// The records from that position on are not there, or the store came back from a copy: the whole table is to be read.
+    /// The records from the requested position on are not available, or the store was restored from a backup:
+    /// the whole table has to be read again.
     ResyncRequired,
 }
 
-/// The store, and how its values are to be understood.
+/// Access to the store, and parsing of its values.
 pub trait Store {
     /// Reads a whole table.
     ///
@@ -73,7 +74,7 @@
     /// Any [`Error`].
     fn newest(&self, table: Table) -> impl Future<Output = Result<Page, Error>>;
 
-    /// Reads the changes from a position on; waits up to `wait_ms` for one.
+    /// Reads the changes from a position on; waits up to `wait_ms` milliseconds for one.
     ///
     /// # Errors
     ///
@@ -85,21 +86,21 @@
         wait_ms: u64,
     ) -> impl Future<Output = Result<Changes, Error>>;
 
-    /// Writes records of [`Table::Instances`] or [`Table::Quarantine`], all or none, in one call.
+    /// Writes records of [`Table::Instances`] or [`Table::Quarantine`] in one call, all or none of them.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; after [`Error::NoAnswer`] they may have been written.
+    /// Any [`Error`]; after [`Error::NoAnswer`] the records may have been written.
     fn put(&self, table: Table, records: &[Record]) -> impl Future<Output = Result<(), Error>>;
 
-    /// Understands a value of [`Table::Configuration`].
+    /// Parses a value of [`Table::Configuration`].
     ///
     /// # Errors
     ///
     /// [`Error::Malformed`] with the reason.
     fn configuration(&self, value: &str) -> Result<Configuration, Error>;
 
-    /// Understands a value of [`Table::Servers`].
+    /// Parses the value of `key` in [`Table::Servers`].
     ///
     /// # Errors
     ///
--- a/crates/drumusher-platform/src/clock.rs
+++ b/crates/drumusher-platform/src/clock.rs
@@ -1,8 +1,9 @@
-//! The clock of the process.
+//! The monotonic clock of the process.
 //!
-//! It counts the time of a suspension of the machine, which the steady clock of the standard library does not on Linux: a
-//! lease, a drain or what was heard of another instance would look as young after one as before. Timers stand still
-//! meanwhile as well, so that whoever waits looks at this clock before it acts. Steps of the time of day change nothing.
+//! Unlike the monotonic clock of the standard library on Linux it advances while the machine is suspended;
+//! otherwise a lease, a drain or a report of another instance would look as fresh after a suspension as
+//! before. Timers do not advance during a suspension either, so a task that has waited has to check this
+//! clock before it acts. Changes of the system time have no effect.
 
 use std::{
     sync::{
@@ -14,43 +15,46 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
 
-/// The clock begins here, so that arrivals before the start of the process fit: a week, in microseconds.
-const START: Micros = 7 * 24 * 3_600 * 1_000_000;
+/// Reading of the clock at its first use, in microseconds: a week, so that requests that arrived before the
+/// process started get valid times.
+const FIRST_READING: Micros = 7 * 24 * 3_600 * 1_000_000;
 
-/// By how much the clock was moved on.
-static MOVED: AtomicU64 = AtomicU64::new(0);
+/// Simulated suspension in microseconds, set by tests only.
+static SIMULATED_SUSPENSION: AtomicU64 = AtomicU64::new(0);
 
-/// Microseconds on the clock of the process.
+/// Current reading of the clock, in microseconds.
 pub fn now() -> Micros {
     static ORIGIN: OnceLock<Micros> = OnceLock::new();
-    let read = since_boot();
-    START + read.saturating_sub(*ORIGIN.get_or_init(|| read))
+    let reading = since_boot();
+    FIRST_READING + reading.saturating_sub(*ORIGIN.get_or_init(|| reading))
 }
 
-/// Milliseconds since 1970 by the time of day at the start of the process and this clock since.
+/// Unix time in milliseconds, taken from the system time once at the first call and advanced by this clock
+/// since.
 pub fn steady_unix_ms() -> u64 {
     static ORIGIN: OnceLock<(Micros, u64)> = OnceLock::new();
     let (started, unix) = *ORIGIN.get_or_init(|| (now(), unix_ms()));
     unix + now().saturating_sub(started) / 1_000
 }
 
-/// Milliseconds since 1970 by the time of day.
+/// Unix time in milliseconds, by the system time.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Moves the clock on, as a suspension of the machine does. For tests, which cannot suspend one.
+/// Advances the clock by `time` as a suspension of the machine would. For tests, which cannot suspend it.
 pub fn suspend(time: Duration) {
-    MOVED.fetch_add(time.as_micros() as u64, Ordering::AcqRel);
+    SIMULATED_SUSPENSION.fetch_add(time.as_micros() as u64, Ordering::AcqRel);
 }
 
-/// Microseconds since the machine started, with the time for which it was suspended.
+/// Microseconds since the machine booted, including suspensions.
 fn since_boot() -> Micros {
-    let read = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has this clock");
-    let read = Duration::new(read.tv_sec() as u64, read.tv_nsec() as u32);
-    read.as_micros() as Micros + MOVED.load(Ordering::Acquire)
+    let reading =
+        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is available on Linux");
+    let reading = Duration::new(reading.tv_sec() as u64, reading.tv_nsec() as u32);
+    reading.as_micros() as Micros + SIMULATED_SUSPENSION.load(Ordering::Acquire)
 }
--- a/crates/drumusher-platform/src/dialect.rs
+++ b/crates/drumusher-platform/src/dialect.rs
@@ -1,115 +1,118 @@
-//! The headers by which callers and backend servers speak of a request.
+//! The headers in which callers and backend servers describe a request and its response.
 
 use ntex::http::{HeaderMap, header::HeaderName};
 
-/// One part of a prompt.
+/// A part of a prompt, as engines cache it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its identity; the same part in two prompts has the same.
+    /// ID, derived from the content: equal parts of two prompts have the same ID.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a caller says about its request.
+/// A caller's headers of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The identity of this attempt of the caller.
+    /// ID of this attempt of the caller.
     pub id: String,
-    /// How long the caller waits, in milliseconds.
+    /// How long the caller waits for the response, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The key of its workspace.
+    /// API key of the caller's workspace.
     pub key: Option<String>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt: u32,
-    /// Most tokens of the answer.
+    /// Maximum length of the response in tokens.
     pub max_tokens: u32,
-    /// The caller's guess at the tokens of the answer.
+    /// The caller's estimate of the length of the response in tokens.
     pub hint: Option<u32>,
     /// The parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// The last event the caller has of an earlier, broken answer.
+    /// Number of the last event that the caller received of an earlier, interrupted response.
     pub last_event: Option<u64>,
 }
 
-/// What an instance tells a backend server beside the caller's own headers.
+/// Headers that an instance adds for the backend server to those of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt<'a> {
-    /// How long the answer is waited for, in milliseconds.
+    /// How long the instance waits for the response, in milliseconds.
     pub deadline_ms: u64,
-    /// The backend server that is meant.
+    /// ID of the backend server that the request is meant for.
     pub server: &'a str,
-    /// The address of an engine whose kept parts of the prompt this one takes over first.
+    /// Address (`ip:port`) of an engine from whose cache this one first copies parts of the prompt.
     pub source: Option<&'a str>,
-    /// The caller's workspace.
+    /// Name of the caller's workspace.
     pub workspace: Option<&'a str>,
-    /// How urgent it is in the engine, 0 (first) to 9; `None` where that has no meaning.
+    /// Urgency in the engine's queue, from 0 (first) to 9; `None` if the backend server is not an engine.
     pub urgency: Option<u8>,
-    /// The last event delivered, for a stream that goes on elsewhere.
+    /// Number of the last event delivered, if the stream is resumed on another backend server.
     pub last_event: Option<u64>,
 }
 
-/// Requests a second, in thousandths.
+/// A rate in thousandths of a request per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rate(pub u32);
 
 impl Rate {
-    /// A number of requests a second; `None` if it is no rate. What is more than the type holds is the most it holds.
+    /// Converts from requests per second; `None` if the number is negative or not finite. Larger rates than
+    /// the type can hold are clamped to its maximum.
     pub fn new(per_second: f64) -> Option<Rate> {
         let is_rate = per_second.is_finite() && per_second >= 0.0;
         is_rate.then(|| Rate((per_second * 1e3).round().min(f64::from(u32::MAX)) as u32))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / 1e3
     }
 }
 
-/// What a backend server says of itself in the head of an answer.
+/// What a backend server announces about itself in the headers of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// What it takes from all instances together, for as long as it says so.
+    /// Request rate that it accepts from all instances together, for as long as it announces one.
     pub limit: Option<Rate>,
-    /// Whether it is leaving, for good.
+    /// Whether it is shutting down for good.
     pub leaving: bool,
-    /// For how many milliseconds it wants no request from the instance that it answers.
+    /// Time in milliseconds for which the instance that gets the response is to send it no requests.
     pub rest_ms: Option<u64>,
-    /// Whether some of it could not be read: then its silence on a limit says nothing.
+    /// Whether some of these headers could not be parsed: a missing limit then does not mean that there is
+    /// none.
     pub malformed: bool,
 }
 
-/// What a backend server's head says about the answer.
+/// A backend server's headers about its response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The identity of the request it answers.
+    /// ID of the request that it answers.
     pub id: Option<String>,
-    /// Whether the backend server says that it did not run the request.
+    /// Whether the backend server states that it did not execute the request.
     pub not_run: bool,
     /// Whether it carries the backend server's signature.
     pub signed: bool,
-    /// What the backend server says of itself; `None` if the answer comes from another one than is meant.
+    /// What the backend server announces about itself; `None` if the response comes from another server than
+    /// intended.
     pub notice: Option<Notice>,
 }
 
-/// How the headers are read and written.
+/// Reads and writes the headers of one platform.
 pub trait Dialect: Clone + Send + 'static {
-    /// Reads what a caller says.
+    /// Reads the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// A sentence for the caller, if a header is missing or cannot be understood.
+    /// A message for the caller if a header is missing or malformed.
     fn read_head(&self, headers: &HeaderMap) -> Result<Head, String>;
 
-    /// Whether a caller's header goes on to the backend server.
+    /// Whether a caller's header is forwarded to the backend server.
     fn passes(&self, name: &HeaderName) -> bool;
 
-    /// Adds what the instance tells the backend server.
+    /// Adds the instance's headers for the backend server.
     fn write_attempt(&self, attempt: &Attempt<'_>, headers: &mut HeaderMap);
 
-    /// Reads the head of an answer with its status.
+    /// Reads the headers of a response with the given status.
     fn read_answer(&self, status: u16, headers: &HeaderMap) -> Answer;
 
-    /// The number of an event, if its lines name one.
+    /// The number of a server-sent event, if it has a numeric `id` field.
     fn event_number(&self, event: &[u8]) -> Option<u64>;
 }
--- a/crates/drumusher-platform/src/duty.rs
+++ b/crates/drumusher-platform/src/duty.rs
@@ -1,5 +1,6 @@
-//! Duties that one instance at a time has towards the platform: telling who used how much, and ordering backend
-//! servers; and the part of the store in which the instances agree on who has them.
+//! Duties that only one instance performs at a time: reporting the usage of workspaces to the platform and
+//! ordering backend servers from it. Also the register in the store by which the instances agree on the
+//! holder of the duties.
 
 use std::collections::BTreeMap;
 
@@ -7,67 +8,68 @@
 
 use crate::{Error, clock::Micros};
 
-/// The register that says who has the duties.
+/// The register in the store that names the holder of the duties.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Register {
-    /// The position after its latest version, by which that is replaced.
+    /// Position after its latest version; the expected position of a compare-and-swap.
     pub end: Position,
-    /// What it holds; `None` if nobody wrote it yet.
+    /// Its content; `None` if it was never written.
     pub value: Option<String>,
 }
 
-/// What instances told.
+/// Records that instances published.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Published {
-    /// In the order in which it came.
+    /// The records, in order.
     pub values: Vec<String>,
     /// The position from which to read on.
     pub next: Position,
-    /// Whether more was told than one read brings.
+    /// Whether there are more records than one read returns.
     pub more: bool,
-    /// Whether it begins before the position that was asked for, since that is not there any more: some of it may have
-    /// been read before.
+    /// Whether the requested position was not available, so that the read started elsewhere and may repeat
+    /// records that were read before.
     pub overlaps: bool,
 }
 
-/// Who makes a call of a duty.
+/// The holder in whose name a call is made, with its fencing token.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
-    /// The instance that has the duty.
+    /// Name of the instance that holds the duties.
     pub holder: &'a str,
-    /// Rises whenever another instance has it.
+    /// Fencing token; increases whenever the holder changes.
     pub token: u64,
-    /// Nothing is sent after this, on the clock of the process.
+    /// Time on the clock of the process after which nothing may be sent.
     pub until: Micros,
 }
 
-/// What the platform says of a call.
+/// The platform's response to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It took it.
+    /// The call was accepted.
     Accepted,
-    /// It will not, as things stand: another has the duty, or there are no such servers to be had.
+    /// The call conflicts with the current state: another instance holds the duties, or no such servers are
+    /// available.
     Conflict,
-    /// Not now: too many calls, or it cannot.
+    /// Temporary failure (status code), such as too many calls: the call may be repeated.
     Retry(u16),
-    /// It does not understand the call; sent again it fares no better.
+    /// The call is invalid (status code); repeating it is of no use.
     Rejected(u16),
 }
 
-/// An order of backend servers.
+/// An order that sets the number of backend servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Order<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The availability zone.
+    /// Availability zone.
     pub availability_zone: &'a str,
-    /// How many there are to be.
+    /// Desired number of servers.
     pub count: u32,
-    /// Whether they are cheaper ones, which may be taken away.
+    /// Whether spot servers are ordered: cheaper ones that the platform may reclaim.
     pub spot: bool,
 }
 
-/// What instances that share duties need of the platform.
+/// The platform's operations that duties need.
 pub trait Duties {
     /// Reads the register.
     ///
@@ -76,34 +78,34 @@
     /// Any [`Error`].
     fn register(&self) -> impl Future<Output = Result<Register, Error>>;
 
-    /// Replaces the version of the register that ends at `expect`. Returns whether that was the latest one; if
-    /// not, nothing was done.
+    /// Compare-and-swap: replaces the version of the register that ends at `expect`. Returns whether that was
+    /// the latest one; otherwise nothing was written.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; it may have been done then, or be done later. [`Error::Restored`] if it was done after the store came
-    /// back from a copy, in place of another version than was meant.
+    /// Any [`Error`]; the write may have been done or may still be done. [`Error::Restored`] if it was done
+    /// after the store was restored from a backup, and so replaced another version than intended.
     fn replace(&self, expect: Position, value: &str) -> impl Future<Output = Result<bool, Error>>;
 
-    /// Tells the other instances something.
+    /// Publishes a record to all instances.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; it may have been told then.
+    /// Any [`Error`]; the record may have been published.
     fn publish(&self, value: &str) -> impl Future<Output = Result<(), Error>>;
 
-    /// Reads what instances told from a position on, or from the oldest that is kept.
+    /// Reads the published records from a position on, or from the oldest one available.
     ///
     /// # Errors
     ///
     /// Any [`Error`].
     fn read_published(&self, from: Position) -> impl Future<Output = Result<Published, Error>>;
 
-    /// Reports what each workspace used in a window.
+    /// Reports the usage of each workspace in one time window, given by its number.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the platform may have taken it then.
+    /// Any [`Error`]; the platform may have accepted the call.
     fn report(
         &self,
         caller: Caller<'_>,
@@ -115,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`Error`]; the platform may have taken it then.
+    /// Any [`Error`]; the platform may have accepted the call.
     fn order(
         &self,
         caller: Caller<'_>,
--- a/crates/drumusher-platform/src/engine.rs
+++ b/crates/drumusher-platform/src/engine.rs
@@ -1,10 +1,10 @@
-//! What an engine tells of itself.
+//! Queries to model engines.
 
 use crate::{Error, dialect::Part};
 
-/// Asking engines.
+/// Queries to model engines.
 pub trait Engines {
-    /// The parts of prompts that the engine at `address` (`ip:port`) keeps.
+    /// The parts of prompts in the cache of the engine at `address` (`ip:port`).
     ///
     /// # Errors
     ///
--- a/crates/drumusher-platform/src/http.rs
+++ b/crates/drumusher-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! Requests with JSON answers, by the HTTP client library.
+//! HTTP client for requests with JSON responses.
 
 use futures_util::StreamExt;
 use ntex::{
@@ -10,63 +10,64 @@
 
 use crate::{Error, tcp};
 
-/// Longest answer taken, in bytes.
-const LONGEST: usize = 16 * 1024 * 1024;
-/// Longest time to connect.
-const CONNECT: Millis = Millis(1_000);
-/// Most connections to one host.
-const CONNECTIONS: usize = 64;
+/// Maximum length of a response body, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// Timeout for connecting.
+const CONNECT_TIMEOUT: Millis = Millis(1_000);
+/// Maximum number of connections to one host.
+const MAX_CONNECTIONS: usize = 64;
 
-/// A client for the outside systems, for use on the thread that made it.
+/// HTTP client for the platform's services. To be used on the thread that created it.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client,
 }
 
-/// An answer: its status and its bytes.
+/// A response with its whole body.
 #[derive(Debug)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The bytes.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Http {
-    /// A client whose requests take at most `timeout`.
+    /// Creates a client whose requests time out after `timeout`.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if the library cannot make a client.
+    /// [`Error::Unreachable`] if the library cannot create a client.
     pub async fn new(timeout: Millis) -> Result<Http, Error> {
-        let connector = Connector::new().limit(CONNECTIONS).connector(tcp::connector(CONNECT));
+        let connector =
+            Connector::new().limit(MAX_CONNECTIONS).connector(tcp::connector(CONNECT_TIMEOUT));
         let client = Client::builder()
             .connector::<()>(connector)
             .disable_redirects()
             .response_timeout(timeout)
             .response_payload_timeout(timeout)
-            .response_payload_limit(LONGEST)
+            .response_payload_limit(MAX_BODY_BYTES)
             .build(ntex::SharedCfg::default())
             .await
             .map_err(|_| Error::Unreachable)?;
         Ok(Http { client })
     }
 
-    /// Gets `url`.
+    /// Sends a GET request to `url`.
     ///
     /// # Errors
     ///
     /// [`Error::Unreachable`] or [`Error::NoAnswer`].
     pub async fn get(&self, url: &str) -> Result<Response, Error> {
-        let response = self.client.get(url).send().await.map_err(|e| failed(&e))?;
-        answer(response).await
+        let response = self.client.get(url).send().await.map_err(|e| send_error(&e))?;
+        read_response(response).await
     }
 
-    /// Gets `url`, whose answer has to begin within `begin` and may then pause for `pause` between two of its
-    /// pieces. A bound on the whole answer would take a long one on a narrow link for none: a megabyte takes
-    /// 0.8 s on ten megabits a second, and is then begun again.
+    /// Sends a GET request to `url`. The response has to start within `begin` and may then pause for at most
+    /// `pause` between two chunks. A timeout for the whole response would abort a long one on a slow link and
+    /// start it over: one megabyte takes 0.8 s at 10 Mbit/s.
     ///
     /// # Errors
     ///
@@ -77,60 +78,62 @@
         begin: Millis,
         pause: Millis,
     ) -> Result<Response, Error> {
-        let sent = timeout(begin, self.client.get(url).send()).await;
-        let mut response = sent.map_err(|()| Error::NoAnswer)?.map_err(|e| failed(&e))?;
+        let response_result = timeout(begin, self.client.get(url).send()).await;
+        let mut response =
+            response_result.map_err(|()| Error::NoAnswer)?.map_err(|e| send_error(&e))?;
         let mut body = Vec::new();
         loop {
-            let piece = timeout(pause, response.next()).await.map_err(|()| Error::NoAnswer)?;
-            let Some(piece) = piece else { break };
-            let piece = piece.map_err(|_| Error::NoAnswer)?;
-            if body.len() + piece.len() > LONGEST {
+            let chunk = timeout(pause, response.next()).await.map_err(|()| Error::NoAnswer)?;
+            let Some(chunk) = chunk else { break };
+            let chunk = chunk.map_err(|_| Error::NoAnswer)?;
+            if body.len() + chunk.len() > MAX_BODY_BYTES {
                 return Err(Error::NoAnswer);
             }
-            body.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
         }
         Ok(Response { status: response.status(), headers: response.headers().clone(), body })
     }
 
     pub(crate) async fn post<T: Serialize>(&self, url: &str, body: &T) -> Result<Response, Error> {
-        let sent = self.client.post(url).send_json(body).await;
-        answer(sent.map_err(|e| failed(&e))?).await
+        let response_result = self.client.post(url).send_json(body).await;
+        read_response(response_result.map_err(|e| send_error(&e))?).await
     }
 
-    /// Posts bytes to `url`.
+    /// Sends a POST request with `body` to `url`.
     ///
     /// # Errors
     ///
     /// [`Error::Unreachable`] or [`Error::NoAnswer`].
     pub async fn post_bytes(&self, url: &str, body: Vec<u8>) -> Result<Response, Error> {
-        let sent = self.client.post(url).send_body(body).await;
-        answer(sent.map_err(|e| failed(&e))?).await
+        let response_result = self.client.post(url).send_body(body).await;
+        read_response(response_result.map_err(|e| send_error(&e))?).await
     }
 }
 
-async fn answer(response: ntex::client::ClientResponse) -> Result<Response, Error> {
+async fn read_response(response: ntex::client::ClientResponse) -> Result<Response, Error> {
     let status = response.status();
     let headers = response.headers().clone();
-    let body = response.body().limit(LONGEST).await.map_err(|_| Error::NoAnswer)?;
+    let body = response.body().limit(MAX_BODY_BYTES).await.map_err(|_| Error::NoAnswer)?;
     Ok(Response { status, headers, body: body.to_vec() })
 }
 
 impl Response {
-    /// The value of a header, if it is text.
+    /// The value of a header, if it is visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// When to come back, in seconds, if it says so.
+    /// The `Retry-After` header in seconds, if it is present and a number.
     pub fn retry_after(&self) -> Option<u64> {
         self.header("retry-after")?.parse().ok()
     }
 
-    /// The body of a successful answer.
+    /// Parses the body of a successful response as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Unavailable`] for any other status, [`Error::Malformed`] if it is not such JSON.
+    /// [`Error::Unavailable`] for any other status, [`Error::Malformed`] if the body is not JSON of this
+    /// type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if !self.status.is_success() {
             return Err(Error::Unavailable(self.status.as_u16()));
@@ -138,8 +141,8 @@
         self.json_any_status()
     }
 
-    /// The same of an answer that quotes what others wrote, whose bytes may be no text in places: there the
-    /// usual mark stands for them.
+    /// Like [`Response::json`] for a response that quotes what others wrote and may hold invalid UTF-8, which
+    /// is replaced by U+FFFD.
     ///
     /// # Errors
     ///
@@ -152,17 +155,17 @@
         serde_json::from_str(&text).map_err(|e| Error::Malformed(e.to_string()))
     }
 
-    /// The body of an answer with any status.
+    /// Parses the body of a response with any status as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if it is not such JSON.
+    /// [`Error::Malformed`] if the body is not JSON of this type.
     pub fn json_any_status<T: DeserializeOwned>(&self) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|e| Error::Malformed(e.to_string()))
     }
 }
 
-fn failed(error: &ClientError) -> Error {
+fn send_error(error: &ClientError) -> Error {
     match error {
         ClientError::Connect(_) => Error::Unreachable,
         _ => Error::NoAnswer,
--- a/crates/drumusher-platform/src/lib.rs
+++ b/crates/drumusher-platform/src/lib.rs
@@ -1,12 +1,13 @@
-//! The outside systems behind small traits, each with its implementation over HTTP and JSON.
+//! Traits for the platform's services, with their implementations over HTTP and JSON.
 //!
-//! [`log`] is the platform's append-only log, [`members`] its list of instances and backend
-//! servers, [`load`] a backend server's own report. A change of an outside protocol is a change of
-//! one of these files. [`clock`] is the clock of the process. [`catalog`], [`routing`], [`engine`], [`duty`] and [`dialect`] are the traits and values of a
-//! platform that keeps configuration and servers in one store; the crate in `platform/` implements
-//! them. Unknown fields are ignored; missing ones are an [`Error::Malformed`].
+//! [`log`] is the platform's append-only log, [`members`] its list of instances and backend servers, [`load`]
+//! the load report of a backend server. A change of one of these protocols is a change of one of these files.
+//! [`clock`] is the clock of the process, [`Http`] the HTTP client, [`tcp`] and [`once`] are its connections
+//! and calls without retries. [`catalog`], [`routing`], [`engine`], [`duty`] and [`dialect`] are the traits
+//! and values of a platform that keeps configuration and servers in one store; the crate in `platform/`
+//! implements them. Unknown JSON fields are ignored; missing ones are an [`Error::Malformed`].
 //!
-//! Futures are not `Send`: each belongs to the thread that made it.
+//! Futures are not `Send`: they stay on the thread that created them.
 
 pub mod catalog;
 pub mod clock;
@@ -25,18 +26,19 @@
 
 use std::fmt;
 
-/// Why an outside system gave no usable answer.
+/// Why a service of the platform gave no usable response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// No connection: nothing was sent.
     Unreachable,
-    /// Something may have been sent, and no answer came.
+    /// The request may have been sent, but no complete response came.
     NoAnswer,
-    /// It answered that it cannot now (status code).
+    /// The service responded with an error (status code).
     Unavailable(u16),
-    /// It came back from a copy while the call was made of several, or after what the call is about was read.
+    /// The service was restored from a backup during a call of several steps, or after the data that the call
+    /// refers to was read.
     Restored,
-    /// The answer is not what the protocol says.
+    /// The response does not follow the protocol.
     Malformed(String),
 }
 
@@ -44,10 +46,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Unreachable => f.write_str("cannot be reached"),
-            Error::NoAnswer => f.write_str("did not answer"),
-            Error::Unavailable(status) => write!(f, "answered with status {status}"),
+            Error::NoAnswer => f.write_str("did not respond"),
+            Error::Unavailable(status) => write!(f, "responded with status {status}"),
             Error::Restored => f.write_str("came back from a copy meanwhile"),
-            Error::Malformed(reason) => write!(f, "gave an answer that cannot be read: {reason}"),
+            Error::Malformed(reason) => write!(f, "sent a response that cannot be read: {reason}"),
         }
     }
 }
--- a/crates/drumusher-platform/src/load.rs
+++ b/crates/drumusher-platform/src/load.rs
@@ -1,4 +1,4 @@
-//! A backend server's own report of its load, which lags.
+//! A backend server's own load report, which lags behind its actual load.
 
 use std::future::Future;
 
@@ -6,44 +6,44 @@
 
 use crate::{Error, Http};
 
-/// Whether a backend server takes new work, by its own word.
+/// Whether a backend server accepts new requests, by its own report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// It does.
     #[default]
     Live,
-    /// It is going away.
+    /// It is shutting down.
     Leaving,
 }
 
-/// A report.
+/// A load report.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Report {
-    /// When it was true, in milliseconds since 1970.
+    /// Time of the measurement, in Unix milliseconds.
     pub as_of_ms: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Duration of a step, in milliseconds.
+    /// Duration of one decoding step, in milliseconds.
     #[serde(default)]
     pub step_ms: f64,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     #[serde(default)]
     pub state: State,
 }
 
-/// What a backend server says.
+/// Response to a query for the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
-    /// Its report.
+    /// The load report.
     Report(Report),
-    /// It takes no more for so many seconds; 0 if it does not say how long.
+    /// The server accepts no more requests for this many seconds; 0 if it gives no time.
     Saturated(u64),
 }
 
-/// Reading load reports.
+/// Access to load reports.
 pub trait Load {
     /// The report of the backend server at `address` (`ip:port`).
     ///
@@ -55,10 +55,10 @@
 
 impl Load for Http {
     async fn load(&self, address: &str) -> Result<Status, Error> {
-        let answer = self.get(&format!("http://{address}/load")).await?;
-        if answer.status.as_u16() == 503 {
-            return Ok(Status::Saturated(answer.retry_after().unwrap_or(0)));
+        let response = self.get(&format!("http://{address}/load")).await?;
+        if response.status.as_u16() == 503 {
+            return Ok(Status::Saturated(response.retry_after().unwrap_or(0)));
         }
-        answer.json().map(Status::Report)
+        response.json().map(Status::Report)
     }
 }
--- a/crates/drumusher-platform/src/log.rs
+++ b/crates/drumusher-platform/src/log.rs
@@ -7,37 +7,37 @@
 
 use crate::{Error, Http};
 
-/// A record as the platform keeps it.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its offset.
+    /// Offset in the stream.
     pub offset: u64,
-    /// When the platform took it, in milliseconds since 1970.
+    /// Time at which the platform appended it, in Unix milliseconds.
     pub time_ms: u64,
-    /// Its bytes.
+    /// Content.
     pub body: Vec<u8>,
 }
 
-/// What a read gives.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Page {
-    /// Records from the offset asked for; none if there was nothing new in time.
+    /// Records from the requested offset on; empty if none came within the wait.
     Records(Vec<Record>),
-    /// The offset asked for is no longer kept; the oldest that is.
+    /// The requested offset is no longer available; the oldest available one.
     Gone(u64),
 }
 
-/// Appending to and reading from streams.
+/// Append-only streams of records.
 pub trait Log {
-    /// Appends records to a stream; all or none take effect. Returns the first one's offset.
+    /// Appends records to a stream, all or none of them. Returns the offset of the first one.
     ///
     /// # Errors
     ///
-    /// Any [`Error`]. After [`Error::NoAnswer`] the append may have taken effect, and after
-    /// [`Error::Unavailable`] too: only reading tells.
+    /// Any [`Error`]. After [`Error::NoAnswer`] and [`Error::Unavailable`] the append may have taken effect;
+    /// only reading the stream tells.
     fn append(&self, stream: &str, bodies: &[Vec<u8>]) -> impl Future<Output = Result<u64, Error>>;
 
-    /// Reads at most `max` records from offset `from`, waiting up to `wait_ms` for one.
+    /// Reads at most `max` records from offset `from` on, waiting up to `wait_ms` milliseconds for one.
     ///
     /// # Errors
     ///
@@ -51,7 +51,7 @@
     ) -> impl Future<Output = Result<Page, Error>>;
 }
 
-/// The log service over HTTP.
+/// Client of the log service over HTTP.
 #[derive(Clone, Debug)]
 pub struct Service {
     http: Http,
@@ -86,7 +86,7 @@
 }
 
 impl Service {
-    /// The log service at `address` (`ip:port`).
+    /// Creates a client of the log service at `address` (`ip:port`).
     pub fn new(http: Http, address: &str) -> Self {
         Service { http, base: format!("http://{address}/streams") }
     }
@@ -96,20 +96,20 @@
     async fn append(&self, stream: &str, bodies: &[Vec<u8>]) -> Result<u64, Error> {
         let url = format!("{}/{stream}/records", self.base);
         let records = bodies.iter().map(|body| STANDARD.encode(body)).collect();
-        let answer = self.http.post(&url, &AppendBody { records }).await?;
-        let appended: Appended = answer.json()?;
+        let response = self.http.post(&url, &AppendBody { records }).await?;
+        let appended: Appended = response.json()?;
         Ok(appended.first)
     }
 
     async fn read(&self, stream: &str, from: u64, max: usize, wait_ms: u64) -> Result<Page, Error> {
         let base = &self.base;
         let url = format!("{base}/{stream}/records?from={from}&max={max}&wait_ms={wait_ms}");
-        let answer = self.http.get(&url).await?;
-        if answer.status.as_u16() == 410 {
-            let gone: GoneBody = answer.json_any_status()?;
+        let response = self.http.get(&url).await?;
+        if response.status.as_u16() == 410 {
+            let gone: GoneBody = response.json_any_status()?;
             return Ok(Page::Gone(gone.first));
         }
-        let page: ReadBody = answer.json()?;
+        let page: ReadBody = response.json()?;
         page.records.into_iter().map(decode).collect::<Result<_, _>>().map(Page::Records)
     }
 }
--- a/crates/drumusher-platform/src/members.rs
+++ b/crates/drumusher-platform/src/members.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances and backend servers, which lags.
+//! The platform's list of instances and backend servers, which lags behind their actual state.
 
 use std::future::Future;
 
@@ -6,61 +6,61 @@
 
 use crate::{Error, Http};
 
-/// What a member is.
+/// Kind of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// An instance of this system; its address is the one for other instances.
+    /// An instance; its address is the one for other instances.
     Instance,
     /// A model engine.
     Engine,
-    /// A server of a plain service.
+    /// A backend server of a plain service.
     Service,
 }
 
-/// Whether a member takes new work.
+/// Whether a member accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// It does.
     Live,
-    /// It is going away.
+    /// It is shutting down.
     Leaving,
 }
 
-/// One member.
+/// A member.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Member {
-    /// Its name, unique among all members.
+    /// Name, unique among all members.
     pub name: String,
-    /// What it is.
+    /// Kind.
     pub kind: Kind,
-    /// Its availability zone.
+    /// Availability zone.
     pub availability_zone: String,
-    /// `ip:port`.
+    /// Address as `ip:port`.
     pub address: String,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// The models or services it serves.
+    /// Models or services that it serves.
     #[serde(default)]
     pub serves: Vec<String>,
-    /// Whether it checks who gives it an order.
+    /// Whether it checks which instance sends it an order.
     #[serde(default)]
     pub checks_orders: bool,
 }
 
-/// The list at some moment.
+/// The list at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct List {
-    /// When it was true, in milliseconds since 1970.
+    /// Time of the list, in Unix milliseconds.
     pub as_of_ms: u64,
     /// The members.
     pub members: Vec<Member>,
 }
 
-/// Reading the list.
+/// Access to the list.
 pub trait Members {
-    /// The members of one availability zone, or of all.
+    /// The members of one availability zone, or of all if `None`.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
     fn list(&self, availability_zone: Option<&str>) -> impl Future<Output = Result<List, Error>>;
 }
 
-/// The list over HTTP.
+/// Client of the list over HTTP.
 #[derive(Clone, Debug)]
 pub struct Service {
     http: Http,
@@ -76,7 +76,7 @@
 }
 
 impl Service {
-    /// The list at `address` (`ip:port`).
+    /// Creates a client of the list at `address` (`ip:port`).
     pub fn new(http: Http, address: &str) -> Self {
         Service { http, url: format!("http://{address}/members") }
     }
--- a/crates/drumusher-platform/src/once.rs
+++ b/crates/drumusher-platform/src/once.rs
@@ -1,7 +1,8 @@
-//! A call that is made at most once, and not after a given moment.
+//! HTTP calls that are sent at most once, and not after a deadline.
 //!
-//! It has a connection of its own. Nothing is written after the moment, however long connecting took; and when no
-//! answer comes in time the connection is reset, so that what the network still holds of the call is lost.
+//! Each call has its own connection. Nothing is written after the deadline, however long connecting took. If
+//! no response comes in time, the connection is reset, so that data of the call still in transit is
+//! discarded.
 
 use std::{
     io::{self, Read, Write},
@@ -17,31 +18,31 @@
     clock::{self, Micros},
 };
 
-/// Longest head of an answer, in bytes.
-const LONGEST: usize = 16 * 1024;
-/// What ends the head of an answer.
+/// Maximum length of the head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// End of the head of a response.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Where the status stands in the first line of an answer: "HTTP/1.1 200 …".
-const STATUS: std::ops::Range<usize> = 9..12;
+/// Position of the status code in the status line of a response: "HTTP/1.1 200 …".
+const STATUS_CODE: std::ops::Range<usize> = 9..12;
 
-/// A call.
+/// A POST request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Where to.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// The path.
+    /// Path.
     pub path: &'static str,
-    /// Headers by name.
+    /// Header names and values.
     pub headers: Vec<(&'static str, String)>,
-    /// The body, JSON.
+    /// Body, as JSON.
     pub body: String,
-    /// Nothing is written after this, on the clock of the process.
+    /// Deadline for writing, on the clock of the process.
     pub until: Micros,
-    /// Longest time of all of it.
+    /// Timeout of the whole call.
     pub timeout: Duration,
 }
 
-/// Posts a call and returns the status of its answer.
+/// Sends a call and returns the status code of its response.
 ///
 /// # Errors
 ///
@@ -53,51 +54,52 @@
 fn exchange(call: &Call) -> Result<u16, Error> {
     let end = clock::now() + call.timeout.as_micros() as Micros;
     let mut stream = connect(call.address, end).map_err(|_| Error::Unreachable)?;
-    let bytes = bytes(call);
+    let request = serialize(call);
     if clock::now() > call.until {
         return Err(Error::Unreachable);
     }
-    let answered = write_and_read(&mut stream, &bytes, end);
-    if answered.is_ok() {
-        // In order: nothing is under way any more. A socket that cannot be told so is reset all the same.
+    let result = send_and_receive(&mut stream, &request, end);
+    if result.is_ok() {
+        // The exchange is complete, so nothing is in transit and the connection can close normally. If the
+        // option cannot be cleared, it is reset, which does no harm.
         let _ = SockRef::from(&stream).set_linger(None);
     }
-    answered
+    result
 }
 
 fn connect(address: SocketAddr, end: Micros) -> io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&address, left(end)?)?;
+    let stream = TcpStream::connect_timeout(&address, time_left(end)?)?;
     stream.set_nodelay(true)?;
     SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
-fn write_and_read(stream: &mut TcpStream, bytes: &[u8], end: Micros) -> Result<u16, Error> {
+fn send_and_receive(stream: &mut TcpStream, request: &[u8], end: Micros) -> Result<u16, Error> {
     let no_answer = |_| Error::NoAnswer;
-    stream.set_write_timeout(Some(left(end).map_err(no_answer)?)).map_err(no_answer)?;
-    stream.write_all(bytes).map_err(no_answer)?;
-    let mut answer = Vec::new();
-    let mut piece = [0; 1_024];
-    while !answer.windows(HEAD_END.len()).any(|bytes| bytes == HEAD_END) {
-        stream.set_read_timeout(Some(left(end).map_err(no_answer)?)).map_err(no_answer)?;
-        let count = stream.read(&mut piece).map_err(no_answer)?;
-        if count == 0 || answer.len() > LONGEST {
+    stream.set_write_timeout(Some(time_left(end).map_err(no_answer)?)).map_err(no_answer)?;
+    stream.write_all(request).map_err(no_answer)?;
+    let mut head = Vec::new();
+    let mut chunk = [0; 1_024];
+    while !head.windows(HEAD_END.len()).any(|bytes| bytes == HEAD_END) {
+        stream.set_read_timeout(Some(time_left(end).map_err(no_answer)?)).map_err(no_answer)?;
+        let count = stream.read(&mut chunk).map_err(no_answer)?;
+        if count == 0 || head.len() > MAX_HEAD_BYTES {
             return Err(Error::NoAnswer);
         }
-        answer.extend_from_slice(&piece[..count]);
+        head.extend_from_slice(&chunk[..count]);
     }
-    let status = answer.get(STATUS).and_then(|text| std::str::from_utf8(text).ok());
+    let status = head.get(STATUS_CODE).and_then(|text| std::str::from_utf8(text).ok());
     let status = status.and_then(|text| text.parse().ok());
-    status.ok_or_else(|| Error::Malformed("an answer without a status".into()))
+    status.ok_or_else(|| Error::Malformed("a response without a status code".into()))
 }
 
-/// The time that is left, if there is any.
-fn left(end: Micros) -> io::Result<Duration> {
-    let left = Duration::from_micros(end.saturating_sub(clock::now()));
-    if left.is_zero() { Err(io::ErrorKind::TimedOut.into()) } else { Ok(left) }
+/// The time left until `end`, or a timeout error.
+fn time_left(end: Micros) -> io::Result<Duration> {
+    let time_left = Duration::from_micros(end.saturating_sub(clock::now()));
+    if time_left.is_zero() { Err(io::ErrorKind::TimedOut.into()) } else { Ok(time_left) }
 }
 
-fn bytes(call: &Call) -> Vec<u8> {
+fn serialize(call: &Call) -> Vec<u8> {
     let Call { address, path, headers, body, .. } = call;
     let mut text = format!("POST {path} HTTP/1.1\r\nHost: {address}\r\n");
     for (name, value) in headers {
--- a/crates/drumusher-platform/src/routing.rs
+++ b/crates/drumusher-platform/src/routing.rs
@@ -1,147 +1,149 @@
-//! A configuration of routes as operators write it: a whole version at once.
+//! The configuration of routes, which operators write as a whole version at once.
 
 use std::net::SocketAddr;
 
-/// One whole version. A higher number is newer; numbers need not follow one another.
+/// A version of the configuration. A higher number is newer; numbers need not be consecutive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its number.
+    /// Version number.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bounds on callers.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// The workspaces; `None` if callers need no key.
+    /// All workspaces; `None` if callers need no API key.
     pub workspaces: Option<Vec<Workspace>>,
 }
 
-/// What a route promises of its requests.
+/// Delivery guarantee of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// A stream of events that runs at most once.
+    /// Runs at most once and responds with a stream of events.
     Stream,
-    /// A stream of events that may go on elsewhere after its last whole event.
+    /// Responds with a stream of events that can be resumed on another backend server after its last complete
+    /// event.
     Resumable,
 }
 
 impl Kind {
-    /// Whether a request may be handed over again although it may have run.
+    /// Whether a request may be sent again although it may have run.
     pub fn repeatable(self) -> bool {
         matches!(self, Kind::Repeatable | Kind::Resumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn streams(self) -> bool {
         matches!(self, Kind::Stream | Kind::Resumable)
     }
 }
 
-/// A rule that sends requests of a host and path to services.
+/// A rule that sends requests for a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host it holds for, in lower case.
+    /// Host that it matches, in lower case.
     pub host: String,
-    /// What the path begins with.
+    /// Path prefix that it matches.
     pub prefix: String,
     /// Services with their weights; at least one.
     pub targets: Vec<Target>,
-    /// What may be done with its requests.
+    /// Delivery guarantee of its requests.
     pub kind: Kind,
-    /// Longest time to hold a request, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Target for the answer or its first event, in milliseconds.
+    /// Target latency of the response, or of the first event of a stream, in milliseconds.
     pub first_ms: u64,
-    /// Target for the pause between two events, in milliseconds; 0 for none.
+    /// Target time between two events of a stream, in milliseconds; 0 for none.
     pub gap_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Most backend servers to which one request may be sent.
+    /// Maximum number of backend servers to which one request may be sent.
     pub attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
 }
 
-/// One service of a route.
+/// A service of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its part of the requests, relative to the other targets.
+    /// Its share of the requests, relative to the other targets.
     pub weight: u32,
 }
 
-/// A group of backend servers that do the same work.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Most connections a backend server takes from all instances together.
+    /// Maximum number of connections that a backend server accepts from all instances together.
     pub connections: u32,
-    /// Whether its backend servers are engines that run language models.
+    /// Whether its backend servers are engines, which run language models.
     pub engine: bool,
-    /// Within which bounds its backend servers may be ordered, if they may.
+    /// Bounds for ordering backend servers; `None` if they must not be ordered.
     pub scaling: Option<Scaling>,
 }
 
-/// Bounds on ordering backend servers.
+/// Bounds for ordering backend servers of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
-    /// Fewest in an availability zone.
+    /// Minimum number in each availability zone.
     pub least: u32,
-    /// Most in an availability zone.
+    /// Maximum number in each availability zone.
     pub most: u32,
-    /// Time until a new one serves, in milliseconds.
+    /// Time until a new server accepts requests, in milliseconds.
     pub boot_ms: u64,
-    /// The price of one that may be taken away, as a part of another's; 1 where there are none.
+    /// Price of a spot server relative to an ordinary one; 1 where there are no spot servers.
     pub spot_price: f64,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head in bytes.
+    /// Maximum length of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Longest body in bytes.
+    /// Maximum length of a request's body, in bytes.
     pub body_bytes: usize,
 }
 
-/// A customer with its keys.
+/// A workspace with its API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// Its name.
     pub name: String,
-    /// Its keys.
+    /// API keys.
     pub keys: Vec<String>,
-    /// Rank before that of the route; 0 is the highest.
+    /// Priority; 0 is the highest. Requests are ranked by this first and by the priority of their route
+    /// second.
     pub priority: u8,
 }
 
-/// A backend server as it describes itself.
+/// A backend server, as it describes itself in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// Its identity.
+    /// ID.
     pub id: String,
-    /// The service it belongs to.
+    /// Service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub availability_zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// When it started, in Unix milliseconds by its own clock, if it tells that. One that starts again may keep
-    /// its identity; it then holds and knows nothing of before.
+    /// Start time in Unix milliseconds by its own clock, if it reports one. A restarted server may keep its
+    /// ID, but has lost all requests and cached data of before.
     pub started_ms: Option<u64>,
-    /// Whether it may be taken away, with a short notice.
+    /// Whether it is a spot server, which the platform may reclaim at short notice.
     pub spot: bool,
 }
--- a/crates/drumusher-platform/src/tcp.rs
+++ b/crates/drumusher-platform/src/tcp.rs
@@ -1,8 +1,8 @@
 //! Outgoing TCP connections without Nagle's algorithm.
 //!
-//! The base library turns it off on accepted connections only. On others a request whose head and
-//! body are two writes waits for a delayed acknowledgement (40 ms measured). So connections are
-//! made here, on the library's pool for blocking work, and handed to it.
+//! The I/O library disables it on accepted connections only. On an outgoing one, a request whose head and
+//! body are two writes waits for a delayed acknowledgement (40 ms measured). Connections are therefore made
+//! here, on the library's thread pool for blocking work, and handed to it.
 
 use std::{
     io,
@@ -24,17 +24,17 @@
 ///
 /// # Errors
 ///
-/// Any error of the operating system; nothing was sent then.
+/// Any I/O error of connecting; nothing was sent.
 pub async fn connect(address: SocketAddr, limit: Millis, config: SharedCfg) -> io::Result<Io> {
     rt::from_tcp_stream(stream(address, limit).await?, config)
 }
 
-/// The same, with a second handle of the socket, which tells how the connection ended: the base
-/// library reports a reset and an orderly end alike.
+/// Like [`connect`], and returns a second handle of the socket, from which the caller learns how the
+/// connection ended: the I/O library reports a reset and an orderly close alike.
 ///
 /// # Errors
 ///
-/// Any error of the operating system; nothing was sent then.
+/// Any I/O error of connecting; nothing was sent.
 pub async fn connect_watched(
     address: SocketAddr,
     limit: Millis,
@@ -52,10 +52,10 @@
         stream.set_nodelay(true)?;
         io::Result::Ok(stream)
     });
-    connecting.await.map_err(|_| io::Error::other("the pool is closed"))?
+    connecting.await.map_err(|_| io::Error::other("the thread pool is closed"))?
 }
 
-/// The same for the HTTP client, which names hosts by IP number and port.
+/// Connector for the HTTP client, whose URLs name hosts by IP address and port.
 pub fn connector(
     limit: Millis,
 ) -> impl ServiceFactory<
