--- a/crates/drumusher-wire/src/lib.rs
+++ b/crates/drumusher-wire/src/lib.rs
@@ -1,11 +1,11 @@
-//! The messages between drumusher instances.
+//! Messages between drumusher instances.
 //!
-//! Messages are thrift structs in the compact encoding, each in a [`frame`] with a length prefix.
-//! [`peer`] is generated from `idl/peer.thrift` and committed, so that a build needs no generator.
-//! [`auth`] is the exchange by which both ends prove that they know the fleet secret.
+//! Messages are Thrift structs in the compact protocol, each in a [`frame`] with a length prefix. [`peer`] is
+//! generated from `idl/peer.thrift` and committed, so that a build needs no code generator. [`auth`] is the
+//! mutual authentication of both ends by the fleet secret.
 //!
-//! The crate does no I/O. The generated code takes its protocols as `&mut dyn`, which goes against
-//! the project's rule for the request path; `docs/DESIGN.md` records it and what it costs.
+//! The crate does no I/O. The generated code takes its protocols as `&mut dyn`, although the project avoids
+//! dynamic dispatch on the request path; `docs/DESIGN.md` records the exception and its cost.
 
 pub mod auth;
 pub mod frame;
--- a/crates/drumusher-wire/tests/wire/frame.rs
+++ b/crates/drumusher-wire/tests/wire/frame.rs
@@ -1,7 +1,7 @@
-//! Frames.
+//! Encoding and decoding of frames.
 
 use drumusher_wire::{
-    frame::{self, Error, LONGEST, PREFIX},
+    frame::{self, Error, MAX_MESSAGE_BYTES, PREFIX_BYTES},
     peer::{
         Answer, Ask, Count, Grant, Heartbeat, Hello, Message, Notice, Part, Piece, PieceRequest,
         Progress, ProgressBatch, StateRequest,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn messages_survive_the_wire() {
+fn messages_round_trip() {
     let messages = [
         Message::Ask(ask()),
         Message::Hello(Hello::new("suva-1".into(), "suva-hall".into(), vec![1; 16])),
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn an_incomplete_prefix_is_awaited() {
+fn an_incomplete_prefix_has_no_length() {
     assert_eq!(frame::length(&[0, 0, 0]), Ok(None));
 }
 
 #[test]
-fn a_prefix_beyond_the_bound_is_refused() {
-    let prefix = (LONGEST as u32 + 1).to_be_bytes();
-    assert_eq!(frame::length(&prefix), Err(Error::TooLong(LONGEST + 1)));
+fn a_prefix_beyond_the_limit_is_rejected() {
+    let prefix = (MAX_MESSAGE_BYTES as u32 + 1).to_be_bytes();
+    assert_eq!(frame::length(&prefix), Err(Error::TooLong(MAX_MESSAGE_BYTES + 1)));
 }
 
-/// A message of a newer version: number 23, or one whose number is written in long form.
+/// A message of a newer version: number 23, whose field number is written in the long form, and number 0.
 #[test]
-fn a_message_that_is_not_known_is_named_without_a_panic() {
+fn an_unknown_message_is_reported_by_its_number() {
     let in_long_form = [0, 0, 0, 4, 0x0c, 0x2e, 0x00, 0x00];
     assert_eq!(frame::read(&in_long_form), Err(Error::Unknown(23)));
     let number_zero = [0, 0, 0, 3, 0x0c, 0x00, 0x00];
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_last_message_of_the_union_is_known() {
+fn the_latest_messages_round_trip() {
     let answer = Message::Answer(Answer::new(7, vec!["{}".to_string()]));
     assert_eq!(round_trip(&answer), answer);
     let request = Message::PieceRequest(PieceRequest::new(0, 7, 16_384, 42, 1));
@@ -133,23 +133,23 @@
 
 proptest! {
     #[test]
-    fn garbage_is_refused_without_a_panic(body in proptest::collection::vec(any::<u8>(), 0..512)) {
+    fn random_bytes_do_not_panic(body in proptest::collection::vec(any::<u8>(), 0..512)) {
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.extend_from_slice(&body);
         let _ = frame::read(&bytes);
     }
 
     #[test]
-    fn a_damaged_message_is_refused_without_a_panic(at in 0usize..64, value in any::<u8>()) {
+    fn a_corrupted_message_does_not_panic(at in 0usize..64, value in any::<u8>()) {
         let mut buffer = Vec::new();
         frame::write(&Message::Ask(ask()), &mut buffer).expect("the message fits");
-        let at = PREFIX + at % (buffer.len() - PREFIX);
+        let at = PREFIX_BYTES + at % (buffer.len() - PREFIX_BYTES);
         buffer[at] = value;
         let _ = frame::read(&buffer);
     }
 
     #[test]
-    fn asks_survive_the_wire(age in 0i64.., prompt in 0i32.., prefix in any::<i64>()) {
+    fn asks_round_trip(age in 0i64.., prompt in 0i32.., prefix in any::<i64>()) {
         let message = Message::Ask(Ask { age, prompt, prefix: Some(prefix), ..ask() });
         prop_assert_eq!(round_trip(&message), message);
     }
