--- a/crates/drumusher-query/src/lib.rs
+++ b/crates/drumusher-query/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' language: one statement asks or commands one thing.
+//! The operators' query language. Each statement is one query or one command.
 //!
 //! ```text
 //! show running where class = pickup and waited > 200ms order by waited desc limit 20
@@ -9,8 +9,8 @@
 //! rotate key vanua
 //! ```
 //!
-//! [`statement::parse`] turns text into a [`statement::Statement`]; [`select::run`] applies
-//! `where`, `order by` and `limit` to rows. The crate does no I/O.
+//! [`statement::parse`] parses a text to a [`statement::Statement`]; [`select::run`] applies `where`, `order
+//! by` and `limit` to rows. The crate does no I/O.
 
 pub mod select;
 pub mod statement;
--- a/crates/drumusher-query/src/select.rs
+++ b/crates/drumusher-query/src/select.rs
@@ -1,4 +1,4 @@
-//! `where`, `order by` and `limit` over rows.
+//! Evaluation of `where`, `order by` and `limit` on rows.
 
 use std::cmp::Ordering;
 
@@ -7,17 +7,17 @@
 
 use crate::statement::{Comparison, Condition, Selection};
 
-/// One row: column names to values.
+/// A row: values by column name.
 pub type Row = Map<String, Json>;
 
-/// Applies a selection to rows.
+/// Filters, sorts and truncates rows by a selection.
 pub fn run(selection: &Selection, rows: Vec<Row>) -> Vec<Row> {
     let holds = |row: &Row| selection.conditions.iter().all(|condition| holds(condition, row));
     let mut rows: Vec<Row> = rows.into_iter().filter(holds).collect();
-    if let Some((column, down)) = &selection.order {
+    if let Some((column, descending)) = &selection.order {
         rows.sort_by(|a, b| {
             let order = compare(a.get(column), b.get(column));
-            if *down { order.reverse() } else { order }
+            if *descending { order.reverse() } else { order }
         });
     }
     rows.truncate(selection.limit.unwrap_or(usize::MAX));
@@ -43,7 +43,8 @@
     }
 }
 
-/// Numbers by size, all else by its text; what is absent comes first.
+/// Compares numbers numerically and all other values by their text. An absent value compares as an empty
+/// text, so it comes first.
 fn compare(a: Option<&Json>, b: Option<&Json>) -> Ordering {
     match (a.and_then(Json::as_f64), b.and_then(Json::as_f64)) {
         (Some(a), Some(b)) => a.total_cmp(&b),
--- a/crates/drumusher-query/src/statement.rs
+++ b/crates/drumusher-query/src/statement.rs
@@ -1,4 +1,4 @@
-//! Statements and their grammar.
+//! Statements and their parser.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -11,34 +11,34 @@
     token::{take_till, take_while},
 };
 
-/// What `show` lists.
+/// A table that `show` lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Table {
-    /// Requests that run.
+    /// Running requests.
     Running,
-    /// Requests that wait.
+    /// Waiting requests.
     Waiting,
     /// Model engines.
     Engines,
-    /// Servers of plain services.
+    /// Backend servers of plain services.
     Services,
     /// Request classes.
     Classes,
     /// Workspaces.
     Workspaces,
-    /// Instances of the system.
+    /// Instances.
     Instances,
     /// The configuration version in force.
     Config,
     /// The latest commands and their verdicts.
     Log,
-    /// Requests that end backend servers.
+    /// Quarantined requests, which crash backend servers.
     Quarantine,
-    /// What backend servers said of themselves.
+    /// Limits, back-off periods and departures that backend servers announced.
     Notices,
 }
 
-/// How a `where` condition compares.
+/// Comparison operator of a `where` condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     /// `=`
@@ -55,49 +55,49 @@
     AtLeast,
 }
 
-/// One condition of a `where`.
+/// A condition of a `where` clause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// The column.
+    /// Column.
     pub column: String,
-    /// How it compares.
+    /// Comparison operator.
     pub comparison: Comparison,
-    /// With what.
+    /// Value to compare with.
     pub value: Value,
 }
 
-/// What to do with the rows of a table.
+/// Clauses that select rows of a table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Selection {
-    /// All must hold.
+    /// Conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// Column to order by, and whether downwards.
+    /// Column to sort by, and whether in descending order.
     pub order: Option<(String, bool)>,
-    /// Most rows.
+    /// Maximum number of rows.
     pub limit: Option<usize>,
 }
 
-/// One statement.
+/// A statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
-    /// List a table.
+    /// List the selected rows of a table.
     Show(Table, Selection),
-    /// Explain one request.
+    /// Explain a request, by its ID.
     Request(String),
     /// Change the configuration.
     Change(Change),
-    /// Give a workspace a new API key.
+    /// Replace the API key of a workspace; if a version is given, only while the configuration has it.
     RotateKey(String, Option<u64>),
-    /// Let a request go that ended backend servers, by its digest.
+    /// Release a request from quarantine, by its digest.
     Release(String),
 }
 
-/// Why a text is not a statement.
+/// Syntax error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Where, in bytes from the start.
+    /// Byte offset.
     pub at: usize,
-    /// What would have been taken there.
+    /// What was expected there.
     pub expected: String,
 }
 
@@ -115,7 +115,7 @@
 ///
 /// # Errors
 ///
-/// Where the text stops being a statement, and what was expected there.
+/// The position of the first syntax error, and what was expected there.
 pub fn parse(text: &str) -> std::result::Result<Statement, Error> {
     let whole = (multispace0, statement, multispace0, cut_err(eof).context(expected("the end")));
     whole.map(|(_, statement, _, _)| statement).parse(text).map_err(|error| {
@@ -137,7 +137,7 @@
     alt((show, change, drain, rotate, release)).context(expected(verbs)).parse_next(input)
 }
 
-fn word<'a>(text: &'static str) -> impl Parser<&'a str, (), ErrMode<ContextError>> {
+fn keyword<'a>(text: &'static str) -> impl Parser<&'a str, (), ErrMode<ContextError>> {
     (Caseless(text), multispace0).void()
 }
 
@@ -145,13 +145,13 @@
     (text, multispace0).void()
 }
 
-/// The characters of names, which addresses and numbers share.
-fn plain(c: char) -> bool {
+/// Whether `c` may occur in a name, an address or a number.
+fn is_token_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || "-_./:".contains(c)
 }
 
 fn token<'a>(input: &mut &'a str) -> Result<&'a str> {
-    terminated(take_while(1.., plain), multispace0).parse_next(input)
+    terminated(take_while(1.., is_token_char), multispace0).parse_next(input)
 }
 
 fn name(input: &mut &str) -> Result<String> {
@@ -165,7 +165,7 @@
 
 fn show(input: &mut &str) -> Result<Statement> {
     (Caseless("show"), multispace1).parse_next(input)?;
-    let request = preceded(word("request"), cut_err(name)).map(Statement::Request);
+    let request = preceded(keyword("request"), cut_err(name)).map(Statement::Request);
     let listing = (table, selection).map(|(table, selection)| Statement::Show(table, selection));
     let tables = "running, waiting, engines, services, classes, workspaces, instances, config, \
                   log, quarantine, notices or request";
@@ -174,29 +174,29 @@
 
 fn table(input: &mut &str) -> Result<Table> {
     alt((
-        word("running").value(Table::Running),
-        word("waiting").value(Table::Waiting),
-        word("engines").value(Table::Engines),
-        word("services").value(Table::Services),
-        word("classes").value(Table::Classes),
-        word("workspaces").value(Table::Workspaces),
-        word("instances").value(Table::Instances),
-        word("config").value(Table::Config),
-        // One alternative takes nine.
+        keyword("running").value(Table::Running),
+        keyword("waiting").value(Table::Waiting),
+        keyword("engines").value(Table::Engines),
+        keyword("services").value(Table::Services),
+        keyword("classes").value(Table::Classes),
+        keyword("workspaces").value(Table::Workspaces),
+        keyword("instances").value(Table::Instances),
+        keyword("config").value(Table::Config),
+        // `alt` takes at most nine parsers, so the last ones are nested.
         alt((
-            word("log").value(Table::Log),
-            word("quarantine").value(Table::Quarantine),
-            word("notices").value(Table::Notices),
+            keyword("log").value(Table::Log),
+            keyword("quarantine").value(Table::Quarantine),
+            keyword("notices").value(Table::Notices),
         )),
     ))
     .parse_next(input)
 }
 
 fn selection(input: &mut &str) -> Result<Selection> {
-    let conditions = opt(preceded(word("where"), cut_err(conditions))).parse_next(input)?;
-    let mut order = opt(preceded((word("order"), cut_err(word("by"))), cut_err(order)));
+    let conditions = opt(preceded(keyword("where"), cut_err(conditions))).parse_next(input)?;
+    let mut order = opt(preceded((keyword("order"), cut_err(keyword("by"))), cut_err(order)));
     let order = order.parse_next(input)?;
-    let limit = opt(preceded(word("limit"), cut_err(number))).parse_next(input)?;
+    let limit = opt(preceded(keyword("limit"), cut_err(number))).parse_next(input)?;
     Ok(Selection {
         conditions: conditions.unwrap_or_default(),
         order,
@@ -205,7 +205,7 @@
 }
 
 fn conditions(input: &mut &str) -> Result<Vec<Condition>> {
-    separated(1.., condition, word("and")).parse_next(input)
+    separated(1.., condition, keyword("and")).parse_next(input)
 }
 
 fn condition(input: &mut &str) -> Result<Condition> {
@@ -228,8 +228,10 @@
 }
 
 fn order(input: &mut &str) -> Result<(String, bool)> {
-    let direction = opt(alt((word("desc").value(true), word("asc").value(false))));
-    (name, direction).map(|(column, down)| (column, down.unwrap_or(false))).parse_next(input)
+    let direction = opt(alt((keyword("desc").value(true), keyword("asc").value(false))));
+    (name, direction)
+        .map(|(column, descending)| (column, descending.unwrap_or(false)))
+        .parse_next(input)
 }
 
 fn value(input: &mut &str) -> Result<Value> {
@@ -243,15 +245,15 @@
 fn quoted(input: &mut &str) -> Result<Value> {
     let inside = take_till(0.., ['"', '\n']).map(|text: &str| Value::Text(text.into()));
     let closing = cut_err(("\"", multispace0)).context(expected("a closing quote"));
-    (symbol_open, inside, closing).map(|(_, value, _)| value).parse_next(input)
+    (opening_quote, inside, closing).map(|(_, value, _)| value).parse_next(input)
 }
 
-fn symbol_open(input: &mut &str) -> Result<()> {
+fn opening_quote(input: &mut &str) -> Result<()> {
     "\"".void().parse_next(input)
 }
 
-/// A number, in milliseconds if it has a unit of time. What looks like the start of a name or an
-/// address is not a number.
+/// A number, converted to milliseconds if it has a unit of time. A token that merely starts like a number,
+/// such as a name or an address, is rejected.
 fn quantity(input: &mut &str) -> Result<Value> {
     let mut converted = token.verify_map(|token: &str| {
         let digits = token.trim_end_matches(|c: char| c.is_ascii_alphabetic());
@@ -279,17 +281,17 @@
 
 fn kind(input: &mut &str) -> Result<Kind> {
     alt((
-        word("class").value(Kind::Class),
-        word("workspace").value(Kind::Workspace),
-        word("engine").value(Kind::Engine),
-        word("service").value(Kind::Service),
+        keyword("class").value(Kind::Class),
+        keyword("workspace").value(Kind::Workspace),
+        keyword("engine").value(Kind::Engine),
+        keyword("service").value(Kind::Service),
     ))
     .context(expected("class, workspace, engine or service"))
     .parse_next(input)
 }
 
 fn if_version(input: &mut &str) -> Result<Option<u64>> {
-    opt(preceded((word("if"), cut_err(word("version"))), cut_err(number))).parse_next(input)
+    opt(preceded((keyword("if"), cut_err(keyword("version"))), cut_err(number))).parse_next(input)
 }
 
 fn field(input: &mut &str) -> Result<(String, Value)> {
@@ -324,7 +326,7 @@
 
 fn rotate(input: &mut &str) -> Result<Statement> {
     (Caseless("rotate"), multispace1).parse_next(input)?;
-    let key = cut_err(word("key")).context(expected("key"));
+    let key = cut_err(keyword("key")).context(expected("key"));
     let (_, name, version) = (key, cut_err(name), if_version).parse_next(input)?;
     Ok(Statement::RotateKey(name, version))
 }
--- a/crates/drumusher-query/tests/query/main.rs
+++ b/crates/drumusher-query/tests/query/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' language.
+//! Tests of the operators' query language.
 
 mod select;
 mod statement;
--- a/crates/drumusher-query/tests/query/select.rs
+++ b/crates/drumusher-query/tests/query/select.rs
@@ -1,4 +1,4 @@
-//! `where`, `order by` and `limit`.
+//! Evaluation of `where`, `order by` and `limit`.
 
 use drumusher_query::{
     select::{Row, run},
@@ -34,7 +34,7 @@
 #[case("order by waited", "dcab")]
 #[case("order by waited desc limit 2", "ba")]
 #[case("where missing = x", "")]
-fn rows_are_selected(#[case] text: &str, #[case] expected: &str) {
+fn selections_filter_sort_and_truncate(#[case] text: &str, #[case] expected: &str) {
     let found = run(&selection(text), rows());
     let names: String = found.iter().filter_map(|row| row["name"].as_str()).collect();
     assert_eq!(names, expected);
--- a/crates/drumusher-query/tests/query/statement.rs
+++ b/crates/drumusher-query/tests/query/statement.rs
@@ -1,4 +1,4 @@
-//! Statements and what is said of faulty ones.
+//! Parsing of statements, and errors for invalid ones.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_selection_is_read_whole() {
+fn a_selection_is_parsed() {
     let text = "show running where class = pickup and waited > 200ms order by waited desc limit 20";
     let condition =
         |column: &str, comparison, value| Condition { column: column.into(), comparison, value };
@@ -35,7 +35,7 @@
 #[case("show waiting", Table::Waiting)]
 #[case("show quarantine", Table::Quarantine)]
 #[case("show notices", Table::Notices)]
-fn a_table_is_named_in_any_case(#[case] text: &str, #[case] table: Table) {
+fn table_names_ignore_case(#[case] text: &str, #[case] table: Table) {
     assert_eq!(parse(text), Ok(Statement::Show(table, Selection::default())));
 }
 
@@ -49,14 +49,14 @@
 #[case("10.0.0.7:8000", Value::Text("10.0.0.7:8000".into()))]
 #[case("\"two words\"", Value::Text("two words".into()))]
 #[case("2nd-desk", Value::Text("2nd-desk".into()))]
-fn a_value_has_its_kind(#[case] text: &str, #[case] value: Value) {
+fn values_are_parsed_by_type(#[case] text: &str, #[case] value: Value) {
     let statement = parse(&format!("set class c x = {text}"));
     let expected = change(Verb::Set, Kind::Class, "c", &[("x", value)]);
     assert_eq!(statement, Ok(Statement::Change(expected)));
 }
 
 #[test]
-fn commands_take_fields_and_a_version() {
+fn commands_are_parsed_with_fields_and_version() {
     let text = "create class pickup tier = 0 first_token = 1500ms if version 7";
     let fields = [("tier", Value::Number(0.0)), ("first_token", Value::Number(1_500.0))];
     let created = change(Verb::Create, Kind::Class, "pickup", &fields);
@@ -82,7 +82,7 @@
 #[case("create class", 12, "a name")]
 #[case("set class c tier =", 18, "a number with an optional unit")]
 #[case("show running please", 13, "the end")]
-fn a_fault_is_named_with_its_place(#[case] text: &str, #[case] at: usize, #[case] says: &str) {
+fn syntax_errors_have_a_position(#[case] text: &str, #[case] at: usize, #[case] says: &str) {
     let error = parse(text).expect_err("the statement is faulty");
     assert_eq!(error.at, at, "{error}");
     assert!(error.expected.contains(says), "{error}");
@@ -90,12 +90,12 @@
 
 proptest! {
     #[test]
-    fn any_text_is_answered_without_a_panic(text in ".{0,120}") {
+    fn any_text_is_parsed_without_a_panic(text in ".{0,120}") {
         let _ = parse(&text);
     }
 
     #[test]
-    fn words_of_the_language_in_any_order_are_answered(
+    fn keywords_in_any_order_are_parsed_without_a_panic(
         words in proptest::collection::vec(
             prop_oneof![
                 Just("show"), Just("running"), Just("where"), Just("order"), Just("by"),
@@ -109,12 +109,12 @@
     }
 
     #[test]
-    fn fields_survive(fields in proptest::collection::btree_map("[a-z]{1,8}", 0u32..9_999, 0..5)) {
+    fn fields_round_trip(fields in proptest::collection::btree_map("[a-z]{1,8}", 0u32..9_999, 0..5)) {
         let text: String = fields.iter().map(|(name, value)| format!(" {name} = {value}")).collect();
         let statement = parse(&format!("create class c{text}"));
         let fields: BTreeMap<String, Value> =
             fields.into_iter().map(|(name, value)| (name, Value::Number(value.into()))).collect();
-        // A field cannot have the name of a word that may follow the fields.
+        // `if` cannot be a field name, because an `if version` clause may follow the fields.
         if !fields.contains_key("if") {
             let (verb, kind, name) = (Verb::Create, Kind::Class, "c".to_string());
             let expected = Change { verb, kind, name, fields, if_version: None };
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_request_is_released_by_its_digest() {
+fn release_takes_a_digest() {
     let digest = "000000000000000000000000000000ff";
     assert_eq!(parse(&format!("release {digest}")), Ok(Statement::Release(digest.into())));
     assert!(parse("release").is_err());
