--- a/crates/drumusher/src/operator/mod.rs
+++ b/crates/drumusher/src/operator/mod.rs
@@ -118,15 +118,15 @@
     rows.into_iter().partition(|row| row.contains_key("no_answer"))
 }
 
-/// Collects the rows of all instances, with a row for each instance that did not respond.
+/// Collects the rows of all instances, each once, with a row for each instance that did not respond.
 async fn gather(shared: &Arc<Shared>, text: &str) -> Vec<Row> {
-    let (reply, answers) = async_channel::bounded(1_024);
+    let (reply, receiver) = async_channel::bounded(1_024);
     if shared.peers.try_send(peers::Input::Gather(text.to_string(), reply)).is_err() {
         return vec![rows::row(json!({"no_answer": &*shared.name}))];
     }
     let (mut all, mut unreachable) = (Vec::new(), BTreeSet::new());
-    while let Ok((instance, answer)) = answers.recv().await {
-        match answer {
+    while let Ok((instance, rows)) = receiver.recv().await {
+        match rows {
             Some(mut rows) => all.append(&mut rows),
             None => {
                 unreachable.insert(instance);
@@ -163,11 +163,11 @@
 }
 
 async fn dispatch_rows(shared: &Arc<Shared>, source: Source) -> Vec<Row> {
-    let (reply, answer) = async_channel::bounded(1);
+    let (reply, receiver) = async_channel::bounded(1);
     if shared.dispatch.try_send(dispatch::Input::Rows(source, reply)).is_err() {
         return Vec::new();
     }
-    let mut rows = answer.recv().await.unwrap_or_default();
+    let mut rows = receiver.recv().await.unwrap_or_default();
     for row in &mut rows {
         row.insert("dispatcher".into(), json!(&*shared.name));
     }
--- a/crates/drumusher/src/operator/rows.rs
+++ b/crates/drumusher/src/operator/rows.rs
@@ -50,14 +50,14 @@
     let now = clock::now();
     match source {
         Source::Running => rows.extend(state.each_running().map(|running| {
-            let mut row = ask_row(&running.ask, pool, version);
+            let mut row = request_row(&running.ask, pool, version);
             row.insert("server".into(), json!(&*names[usize::from(running.server.0)]));
             row.insert("running".into(), json!((now - running.granted) / 1_000));
             row.insert("tokens".into(), json!(running.produced));
             row
         })),
         Source::Waiting => rows.extend(state.each_waiting().map(|waiting| {
-            let mut row = ask_row(&waiting.ask, pool, version);
+            let mut row = request_row(&waiting.ask, pool, version);
             row.insert("waited".into(), json!((now - waiting.since) / 1_000));
             row
         })),
@@ -73,7 +73,7 @@
     }
 }
 
-fn ask_row(ask: &Ask, pool: &Pool, version: &Version) -> Row {
+fn request_row(ask: &Ask, pool: &Pool, version: &Version) -> Row {
     let class = version.policy.class(ask.class);
     let workspace = version.policy.workspace(ask.workspace);
     row(json!({
--- a/crates/drumusher/src/request/http.rs
+++ b/crates/drumusher/src/request/http.rs
@@ -93,8 +93,8 @@
         Ok(accepted) => accepted,
         Err(error) => return error.response(),
     };
-    let whole = request.uri().path_and_query().map_or("", |path| path.as_str());
-    let rest = whole.strip_prefix("/services/").unwrap_or("");
+    let path_and_query = request.uri().path_and_query().map_or("", |path| path.as_str());
+    let rest = path_and_query.strip_prefix("/services/").unwrap_or("");
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, tail) = rest.split_at(end);
     let path = if tail.starts_with('/') { tail.to_string() } else { format!("/{tail}") };
--- a/crates/drumusher/src/request/stream.rs
+++ b/crates/drumusher/src/request/stream.rs
@@ -193,8 +193,8 @@
         self.ended = true;
         self.lifecycle.set_outcome(Kind::BadRequest.code());
         let body = response.body().await.unwrap_or_default();
-        let said = serde_json::from_slice::<Value>(&body).unwrap_or(json!(null));
-        let reason = said.pointer("/error/message").and_then(Value::as_str);
+        let error_body = serde_json::from_slice::<Value>(&body).unwrap_or(json!(null));
+        let reason = error_body.pointer("/error/message").and_then(Value::as_str);
         let message = format!("the engine rejected the request: {}", reason.unwrap_or("no reason"));
         Err(Error::new(Kind::BadRequest, message))
     }
