--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -121,7 +121,7 @@
             Event::Withdraw(id) => self.forget(now, id),
             Event::Progress(progress) => self.progress(now, progress),
             Event::Finish(id, outcome, produced) => self.finish(now, id, outcome, produced),
-            Event::Load(load) => self.report(now, &load),
+            Event::Load(load) => self.apply_report(now, &load),
             Event::CachedParts(key, parts) => {
                 if let Some(server) = self.server(key) {
                     server.engine_mut().keep(now, &parts);
@@ -131,7 +131,7 @@
             Event::Leave(key) => self.leave(key),
             Event::RateLimit(key, per_second) => {
                 if let Some(server) = self.server(key) {
-                    server.limit(now, per_second);
+                    server.set_rate_limit(now, per_second);
                 }
             }
             Event::Cooldown(entry, key, until) => self.rest(entry, key, until),
@@ -246,13 +246,13 @@
         }
     }
 
-    fn report(&mut self, now: Micros, load: &crate::event::Load) {
+    fn apply_report(&mut self, now: Micros, load: &crate::event::Load) {
         if !self.policy.switches.learning {
             return;
         }
         let taken_over = self.taken_over;
         if let Some(server) = self.server(load.server) {
-            server.report(load, now, taken_over);
+            server.apply_report(load, now, taken_over);
         }
     }
 
@@ -323,7 +323,7 @@
     /// no room for another.
     fn all_limited(&self) -> bool {
         let mut serving = self.servers().filter(|(_, server)| !server.leaving()).peekable();
-        serving.peek().is_some() && serving.all(|(_, server)| server.limited().is_some())
+        serving.peek().is_some() && serving.all(|(_, server)| server.rate_limit().is_some())
     }
 
     /// Learns from a place that was held for a time.
--- a/crates/drumusher-schedule/src/pool/grant.rs
+++ b/crates/drumusher-schedule/src/pool/grant.rs
@@ -203,10 +203,10 @@
     }
 
     fn explain(&self, ask: &Ask, server: server::Key, scope: Scope, reserved: bool) -> Choice {
-        let holds = self.servers[usize::from(server.0)]
+        let has_prefix = self.servers[usize::from(server.0)]
             .as_ref()
-            .is_some_and(|server| server.holds(ask.prefix));
-        match (scope, reserved, holds) {
+            .is_some_and(|server| server.has_prefix(ask.prefix));
+        match (scope, reserved, has_prefix) {
             (Scope::Probe, _, _) => Choice::Probe,
             (_, true, _) => Choice::Floor,
             (_, _, true) => Choice::Prefix,
--- a/crates/drumusher-schedule/src/pool/health.rs
+++ b/crates/drumusher-schedule/src/pool/health.rs
@@ -5,7 +5,7 @@
     ask::{Key, State},
     order::{Order, Preemption},
     outlier,
-    server::{Health, Sensitivity, Usual},
+    server::{Baseline, Health, Sensitivity},
     time::Micros,
 };
 
@@ -25,11 +25,11 @@
             return;
         }
         for sensitivity in Sensitivity::ALL {
-            let usual = self.usual(now, sensitivity);
-            let Some(usual) = usual else { continue };
+            let baseline = self.baseline(now, sensitivity);
+            let Some(baseline) = baseline else { continue };
             let servers = self.servers.iter_mut().enumerate();
             let judged = servers.filter_map(|(at, server)| {
-                Some((at, server.as_mut()?.judge(now, sensitivity, usual)))
+                Some((at, server.as_mut()?.check_slow(now, sensitivity, baseline)))
             });
             let slow: Vec<usize> = judged.filter(|(_, slow)| *slow).map(|(at, _)| at).collect();
             for at in slow {
@@ -40,8 +40,8 @@
 
     /// What is usual between the tokens of streams of a kind; `None` if fewer than two backend
     /// servers had some lately.
-    fn usual(&self, now: Micros, sensitivity: Sensitivity) -> Option<Usual> {
-        let known = self.servers().filter_map(|(_, server)| server.pace(now, sensitivity));
+    fn baseline(&self, now: Micros, sensitivity: Sensitivity) -> Option<Baseline> {
+        let known = self.servers().filter_map(|(_, server)| server.recent_gap(now, sensitivity));
         let gaps: Vec<f64> = known.collect();
         if gaps.len() < 2 {
             return None;
@@ -51,11 +51,11 @@
             self.recent_classes(now).filter(|class| self.sensitivity(now, *class) == sensitivity);
         let targets = of_sensitivity.map(|class| self.policy.class(class).token_gap);
         let target = targets.filter(|gap| *gap > 0).min().unwrap_or(0);
-        let borne = match sensitivity {
+        let fraction = match sensitivity {
             Sensitivity::Sensitive => SENSITIVE_GAP_FRACTION,
             Sensitivity::Tolerant => TOLERANT_GAP_FRACTION,
         };
-        Some(Usual { median, borne: target as f64 * borne })
+        Some(Baseline { median, acceptable: target as f64 * fraction })
     }
 
     /// Orders the repeatable attempts on a backend server stopped, as many as have room elsewhere.
@@ -91,9 +91,9 @@
         }
         let median = outlier::median(rates.into_iter());
         for server in self.servers.iter_mut().flatten() {
-            let spare = outliers < all / outlier::MIN_SERVERS_PER_OUTLIER;
+            let can_spare = outliers < all / outlier::MIN_SERVERS_PER_OUTLIER;
             let before = server.health();
-            server.compare(now, median, spare);
+            server.update_outlier(now, median, can_spare);
             outliers += usize::from(before == Health::Good && server.health() != before);
         }
     }
--- a/crates/drumusher-schedule/src/pool/preempt.rs
+++ b/crates/drumusher-schedule/src/pool/preempt.rs
@@ -58,7 +58,8 @@
             return;
         }
         let queued = |(key, server): (server::Key, &Server)| {
-            let (waiting, as_of) = server.queued().filter(|_| server.limited().is_none())?;
+            let (waiting, as_of) =
+                server.reported_queue().filter(|_| server.rate_limit().is_none())?;
             Some((key, waiting as usize, as_of))
         };
         let queued: Vec<_> = self.servers().filter_map(queued).collect();
@@ -68,7 +69,7 @@
                 continue;
             }
             if let Some(server) = self.server(server) {
-                server.relieve(now);
+                server.note_queue_preemption(now);
             }
             for key in victims {
                 self.stop(key, Preemption::HigherTier, orders);
@@ -119,7 +120,7 @@
         let Some(State::Running(running)) = self.asks.get(key.0 as usize) else {
             return false;
         };
-        self.server_at(running.server).is_some_and(|server| server.limited().is_none())
+        self.server_at(running.server).is_some_and(|server| server.rate_limit().is_none())
     }
 
     /// Orders one attempt stopped.
--- a/crates/drumusher-schedule/src/pool/track.rs
+++ b/crates/drumusher-schedule/src/pool/track.rs
@@ -28,7 +28,7 @@
         let reading = self.reading_at(&waiting.ask, server);
         self.run(now, waiting, server, reading, false);
         if let Some(server) = self.server(server) {
-            server.backdate();
+            server.backdate_grant();
         }
         let Some((_, running)) = self.running_of(id) else {
             return;
@@ -83,7 +83,7 @@
             if let Some(first) = progress.first_token {
                 server.engine_mut().first_event(progress.id, first);
             }
-            server.learn(now, sensitivity, progress.first_token, progress.gap, target);
+            server.record_stream(now, sensitivity, progress.first_token, progress.gap, target);
         }
     }
 
--- a/crates/drumusher-schedule/src/server.rs
+++ b/crates/drumusher-schedule/src/server.rs
@@ -1,19 +1,19 @@
-//! What a dispatcher knows of one backend server, learned from its own grants and streams.
+//! State of one backend server, learned from this dispatcher's own grants and streams.
 
+mod gap;
 mod health;
-mod pace;
 mod rate;
 mod window;
 
+pub use gap::{Baseline, Sensitivity};
 pub use health::Health;
-pub use pace::{Sensitivity, Usual};
 
 use std::collections::{HashMap, VecDeque};
 
 use self::{
-    pace::{ENOUGH_SAMPLES, Pace, mean},
-    rate::Rate,
-    window::{HISTORY, Sample},
+    gap::{MIN_SAMPLES, TokenGap, moving_average},
+    rate::Limiter,
+    window::{HISTORY_LEN, Sample},
 };
 use crate::{
     ask::Outcome,
@@ -22,20 +22,20 @@
     time::{MILLISECOND, Micros, SECOND},
 };
 
-/// A backend server's place in its pool.
+/// Index of a backend server in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u16);
 
-/// What is configured for a backend server.
+/// Configuration of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Most requests given to it at once.
+    /// Maximum requests given to it at once.
     pub slots: u32,
-    /// Requests given to it at once before anything was learned.
+    /// Requests given to it at once before anything is learned.
     pub first_slots: u32,
-    /// Whether the window is learned; otherwise it is `slots`.
+    /// Whether the concurrency window is learned; otherwise it is `slots`.
     pub learned: bool,
-    /// Its place in an order that all dispatchers of the pool share.
+    /// Sort key in an order that all dispatchers of the pool share.
     pub rank: u64,
 }
 
@@ -45,47 +45,47 @@
     }
 }
 
-/// Prefixes remembered per backend server.
-const PREFIXES: usize = 1_024;
-/// Assumed time to process one prompt token that is not cached.
-const PROMPT_TOKEN: f64 = 30.0;
+/// Maximum prefixes remembered per backend server.
+const MAX_PREFIXES: usize = 1_024;
+/// Assumed time to prefill one prompt token that is not cached, in microseconds.
+const PROMPT_TOKEN_TIME: f64 = 30.0;
 
 /// One backend server.
 #[derive(Debug)]
 pub struct Server {
     options: Options,
-    limit: f64,
+    window: f64,
     running: u32,
     foreign: u32,
     history: VecDeque<(Micros, u32)>,
     full_until: Micros,
-    /// Whether its last report said that it takes no more.
-    says_full: bool,
+    /// Whether its last report said that it accepts no more requests.
+    reported_full: bool,
     gap: f64,
     gap_samples: u32,
     first_token: f64,
     failures: u32,
     health: Health,
-    /// When it was last found to be down.
+    /// When it last became down.
     down_since: Micros,
     leaving: bool,
-    /// What it takes a second, where that is limited.
-    rate: Option<Rate>,
-    adjusted: Micros,
-    /// When attempts on it were last stopped for those in its own queue.
-    relieved: Micros,
-    /// The latest reports, oldest first.
+    /// Rate limit of grants, if there is one.
+    limiter: Option<Limiter>,
+    window_adjusted: Micros,
+    /// When attempts were last preempted for requests in its own queue.
+    queue_preempted: Micros,
+    /// The latest load reports, oldest first.
     samples: VecDeque<Sample>,
-    /// What it was seen to hold at most, and since when.
+    /// The most requests that it was seen to run at once, and when that was seen.
     ceiling: Option<(f64, Micros)>,
     prefixes: HashMap<u64, Micros>,
-    /// What is believed of it as an engine.
+    /// Prompt cache and prefill state, if it is an engine.
     engine: Engine,
     outlier_detector: Detector,
-    /// The kind of streams in which it was found slow last.
-    slow_in: Sensitivity,
-    /// By [`Kind`].
-    paces: [Pace; Sensitivity::ALL.len()],
+    /// The kind of streams by which it was last found slow.
+    slow_sensitivity: Sensitivity,
+    /// Indexed by [`Sensitivity`].
+    token_gaps: [TokenGap; Sensitivity::ALL.len()],
 }
 
 impl Server {
@@ -93,12 +93,12 @@
     pub fn new(options: Options) -> Self {
         Server {
             options,
-            limit: f64::from(options.first_slots.min(options.slots)),
+            window: f64::from(options.first_slots.min(options.slots)),
             running: 0,
             foreign: 0,
-            history: VecDeque::with_capacity(HISTORY),
+            history: VecDeque::with_capacity(HISTORY_LEN),
             full_until: 0,
-            says_full: false,
+            reported_full: false,
             gap: 0.0,
             gap_samples: 0,
             first_token: 0.0,
@@ -106,24 +106,24 @@
             health: Health::Good,
             down_since: 0,
             leaving: false,
-            rate: None,
-            adjusted: 0,
-            relieved: 0,
+            limiter: None,
+            window_adjusted: 0,
+            queue_preempted: 0,
             samples: VecDeque::new(),
             ceiling: None,
             prefixes: HashMap::new(),
             engine: Engine::new(),
             outlier_detector: Detector::new(),
-            slow_in: Sensitivity::Sensitive,
-            paces: Default::default(),
+            slow_sensitivity: Sensitivity::Sensitive,
+            token_gaps: Default::default(),
         }
     }
 
-    /// Takes a changed configuration; what was learned stays.
+    /// Applies a changed configuration; what was learned stays.
     pub fn configure(&mut self, options: Options) {
         self.options = options;
         let slots = f64::from(options.slots);
-        self.limit = if options.learned { self.limit.min(slots) } else { slots };
+        self.window = if options.learned { self.window.min(slots) } else { slots };
         self.leaving = false;
     }
 
@@ -132,31 +132,34 @@
         self.leaving = true;
     }
 
-    /// Limits the grants a second, or no longer does.
-    pub fn limit(&mut self, now: Micros, per_second: Option<f64>) {
-        match (&mut self.rate, per_second) {
-            (Some(rate), Some(per_second)) => rate.set(now, per_second),
-            (rate, per_second) => *rate = per_second.map(|per_second| Rate::new(now, per_second)),
+    /// Sets the rate limit of grants; `None` lifts it.
+    pub fn set_rate_limit(&mut self, now: Micros, per_second: Option<f64>) {
+        match (&mut self.limiter, per_second) {
+            (Some(limiter), Some(per_second)) => limiter.set_rate(now, per_second),
+            (limiter, per_second) => {
+                *limiter = per_second.map(|per_second| Limiter::new(now, per_second))
+            }
         }
     }
 
-    /// Grants a second to which it is limited.
-    pub fn limited(&self) -> Option<f64> {
-        self.rate.as_ref().map(Rate::per_second)
+    /// Rate limit in grants per second, if there is one.
+    pub fn rate_limit(&self) -> Option<f64> {
+        self.limiter.as_ref().map(Limiter::per_second)
     }
 
-    /// Requests a second that it takes while it is full, each of which holds its place for a time.
-    pub fn drain_rate(&self, held: f64) -> f64 {
-        let by_places = f64::from(self.window()) * SECOND as f64 / held;
-        self.limited().map_or(by_places, |limit| limit.min(by_places))
+    /// Requests per second that it accepts while full, if each occupies a slot for `hold_time`
+    /// microseconds.
+    pub fn drain_rate(&self, hold_time: f64) -> f64 {
+        let by_slots = f64::from(self.window()) * SECOND as f64 / hold_time;
+        self.rate_limit().map_or(by_slots, |limit| limit.min(by_slots))
     }
 
-    /// Grants that its limit allows now.
-    fn allowed(&self, now: Micros) -> u32 {
-        self.rate.as_ref().map_or(u32::MAX, |rate| rate.saved(now) as u32)
+    /// Number of grants that the rate limit allows now.
+    fn grants_allowed(&self, now: Micros) -> u32 {
+        self.limiter.as_ref().map_or(u32::MAX, |limiter| limiter.available(now) as u32)
     }
 
-    /// Its place in the order of the pool.
+    /// Sort key in the order that all dispatchers of the pool share.
     pub fn rank(&self) -> u64 {
         self.options.rank
     }
@@ -166,85 +169,87 @@
         self.leaving
     }
 
-    /// Own grants running on it.
+    /// Grants of this dispatcher that run on it.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests on it that this dispatcher did not grant, by its reports.
+    /// Requests on it that this dispatcher did not grant, according to its reports.
     pub fn foreign(&self) -> u32 {
         self.foreign
     }
 
-    /// Mean time between tokens in microseconds, when enough was seen.
+    /// Mean time between tokens in microseconds, once there are enough samples.
     pub fn measured_gap(&self) -> Option<f64> {
-        (self.gap_samples >= ENOUGH_SAMPLES).then_some(self.gap)
+        (self.gap_samples >= MIN_SAMPLES).then_some(self.gap)
     }
 
-    /// Mean time from a grant to its first token in microseconds, when one was seen.
+    /// Mean time from a grant to the first token in microseconds, once one was seen.
     pub fn known_first_token(&self) -> Option<f64> {
         (self.first_token > 0.0).then_some(self.first_token)
     }
 
-    /// Places free for ordinary work.
+    /// Free slots for ordinary work, as opposed to probes.
     pub fn free(&self, now: Micros) -> u32 {
         if self.leaving || self.health != Health::Good || now < self.full_until {
             return 0;
         }
-        self.window().saturating_sub(self.running + self.foreign).min(self.allowed(now))
+        self.window().saturating_sub(self.running + self.foreign).min(self.grants_allowed(now))
     }
 
-    /// Mean time between tokens in microseconds, of however few samples.
+    /// Mean time between tokens in microseconds, however few samples there are.
     pub fn estimated_gap(&self) -> Option<f64> {
         (self.gap_samples > 0).then_some(self.gap)
     }
 
-    /// Expected microseconds to the first token for a prompt, for comparing backend servers. One
-    /// of which nothing was seen is taken for as fast as the others, `usual` between tokens.
-    pub fn cost(&self, prompt: u32, prefix: u64, usual: f64) -> f64 {
+    /// Expected microseconds to the first token of a prompt, for comparing backend servers. One
+    /// without samples is assumed to be as fast as the others, with a gap of `typical_gap` between
+    /// tokens.
+    pub fn cost(&self, prompt: u32, prefix: u64, typical_gap: f64) -> f64 {
         let occupied = f64::from(self.running + self.foreign);
-        let step = self.estimated_gap().unwrap_or(usual).max(MILLISECOND as f64);
-        let prompt_time = if self.holds(prefix) { 0.0 } else { f64::from(prompt) * PROMPT_TOKEN };
-        step * (1.0 + 4.0 * occupied / self.limit.max(1.0)) + prompt_time
+        let step = self.estimated_gap().unwrap_or(typical_gap).max(MILLISECOND as f64);
+        let prefill_time =
+            if self.has_prefix(prefix) { 0.0 } else { f64::from(prompt) * PROMPT_TOKEN_TIME };
+        step * (1.0 + 4.0 * occupied / self.window.max(1.0)) + prefill_time
     }
 
-    /// Whether it was sent this prefix before.
-    pub fn holds(&self, prefix: u64) -> bool {
+    /// Whether it received this prefix before.
+    pub fn has_prefix(&self, prefix: u64) -> bool {
         prefix != 0 && self.prefixes.contains_key(&prefix)
     }
 
-    /// What is believed of it as an engine.
+    /// Prompt cache and prefill state, if it is an engine.
     pub fn engine(&self) -> &Engine {
         &self.engine
     }
 
-    /// The same, to be told of what happens.
+    /// Mutable access to [`Server::engine`], to record events.
     pub fn engine_mut(&mut self) -> &mut Engine {
         &mut self.engine
     }
 
-    /// Counts a grant.
+    /// Records a grant.
     pub fn start(&mut self, now: Micros, prefix: u64) {
         self.running += 1;
-        if let Some(rate) = &mut self.rate {
-            rate.take(now);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.take(now);
         }
-        self.note(now);
-        self.probed(now);
+        self.record_running(now);
+        self.schedule_probe(now);
         if prefix == 0 {
             return;
         }
         self.prefixes.insert(prefix, now);
-        if self.prefixes.len() > PREFIXES {
-            let middle = self.prefixes.values().copied().sum::<Micros>() / PREFIXES as Micros;
-            self.prefixes.retain(|_, used| *used >= middle);
+        if self.prefixes.len() > MAX_PREFIXES {
+            let mean_use = self.prefixes.values().copied().sum::<Micros>() / MAX_PREFIXES as Micros;
+            self.prefixes.retain(|_, used| *used >= mean_use);
         }
     }
 
-    /// Counts the end of an attempt that was granted at `granted`.
+    /// Records the end of an attempt that was granted at `granted`.
     pub fn end(&mut self, now: Micros, granted: Micros, outcome: Outcome) {
         self.running = self.running.saturating_sub(1);
-        self.note(now);
+        self.record_running(now);
         let failed = matches!(outcome, Outcome::Failed | Outcome::ConnectFailed);
         if failed && self.is_part_of_outage(granted) {
             return;
@@ -256,16 +261,16 @@
             Outcome::Cancelled | Outcome::Preempted | Outcome::Overloaded => {}
         }
         match outcome {
-            // One that answers is there, whatever it answers.
-            Outcome::Done | Outcome::ErrorResponse => self.succeed(),
-            Outcome::Failed | Outcome::ConnectFailed => self.fail(now),
-            Outcome::Overloaded => self.refuse(now),
+            // A backend server that answers is up, whatever it answers.
+            Outcome::Done | Outcome::ErrorResponse => self.record_success(),
+            Outcome::Failed | Outcome::ConnectFailed => self.record_failure(now),
+            Outcome::Overloaded => self.record_rejection(now),
             Outcome::Cancelled | Outcome::Preempted => {}
         }
     }
 
     /// Learns from a stream: time to the first token and mean time between tokens.
-    pub fn learn(
+    pub fn record_stream(
         &mut self,
         now: Micros,
         sensitivity: Sensitivity,
@@ -274,7 +279,7 @@
         target: Micros,
     ) {
         if let Some(first) = first_token {
-            self.first_token = mean(self.first_token, first as f64);
+            self.first_token = moving_average(self.first_token, first as f64);
         }
         if first_token.is_some() || gap > 0 {
             self.end_outage(now);
@@ -282,11 +287,12 @@
         if gap == 0 {
             return;
         }
-        // A backend server that produces tokens is not down, whatever became of one request.
+        // A backend server that produces tokens is not down, whatever happened to one request.
         self.failures = 0;
-        self.gap = if self.gap_samples == 0 { gap as f64 } else { mean(self.gap, gap as f64) };
+        self.gap =
+            if self.gap_samples == 0 { gap as f64 } else { moving_average(self.gap, gap as f64) };
         self.gap_samples = self.gap_samples.saturating_add(1);
-        self.paces[sensitivity as usize].note(now, gap);
-        self.adjust(now, target as f64);
+        self.token_gaps[sensitivity as usize].record(now, gap);
+        self.adjust_window(now, target as f64);
     }
 }
--- a/crates/drumusher-schedule/src/server/health.rs
+++ b/crates/drumusher-schedule/src/server/health.rs
@@ -1,45 +1,47 @@
-//! Whether a backend server is fit for work: what makes it slow, erring or down, and the probes that
-//! make it good again.
+//! Health of a backend server: when it counts as slow, failing or down, and the probes after which
+//! it is healthy again.
 
 use super::{
     Server,
-    pace::{Sensitivity, Usual},
+    gap::{Baseline, Sensitivity},
 };
 use crate::{
     outlier::Detector,
     time::{MILLISECOND, Micros, SECOND},
 };
 
-/// Failures in a row before a backend server counts as down.
+/// Consecutive failures after which a backend server is down.
 const FAILURES_TO_DOWN: u32 = 2;
-/// Shortest pause after a failure.
-const DOWN_PAUSE: Micros = 500 * MILLISECOND;
-/// Longest pause after failures.
-const DOWN_PAUSE_MOST: Micros = 15 * SECOND;
-/// Pause before a slow backend server is tried, and between two trials.
+/// Shortest pause before the probe of a backend server that is down.
+const MIN_DOWN_PAUSE: Micros = 500 * MILLISECOND;
+/// Longest pause before the probe of a backend server that is down.
+const MAX_DOWN_PAUSE: Micros = 15 * SECOND;
+/// Pause before the first probe of a slow or failing backend server, and between probes.
 const PROBE_PAUSE: Micros = SECOND;
-/// A probe that found no request of a lower tier for so long takes one of the highest.
-const PROBE_ANYWAY: Micros = 5 * SECOND;
-/// A backend server is slow at this many times the pool's median gap…
+/// A probe that has been due for this long may use a request of the highest tier.
+const PROBE_OVERDUE_AFTER: Micros = 5 * SECOND;
+/// A backend server is slow above this multiple of the pool's median token gap.
 const SLOW_FACTOR: f64 = 2.5;
-/// …and good again at this many times.
-const GOOD_FACTOR: f64 = 1.6;
+/// A slow backend server is healthy again below this multiple of the median.
+const RECOVERY_FACTOR: f64 = 1.6;
 
-/// Whether a backend server is fit for work.
+/// Health of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// It is.
+    /// Healthy.
     Good,
-    /// Its streams are much slower than the pool's: one probe from the given time on.
+    /// Its token gaps are much longer than the pool's: one probe from the given time on.
     Slow(Micros),
-    /// It fails far more of its requests than the pool: one probe from the given time on.
+    /// It fails a much larger share of its requests than the pool: one probe from the given time
+    /// on.
     Erring(Micros),
-    /// It failed: nothing until the given time, then one probe. The second value is the pause.
+    /// It failed repeatedly: no request until the given time, then one probe. The second value is
+    /// the pause.
     Down(Micros, Micros),
 }
 
 impl Health {
-    /// Its word in logs and for operators.
+    /// The name in logs and for operators.
     pub const fn word(self) -> &'static str {
         match self {
             Health::Good => "good",
@@ -64,23 +66,23 @@
         self.health
     }
 
-    /// Failures in a row.
+    /// Consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether one repeatable request may be sent to try it.
+    /// Whether one repeatable request may be sent as a probe.
     pub fn may_probe(&self, now: Micros) -> bool {
         let idle = !self.leaving && self.running == 0;
-        self.probe_due(now).is_some() && idle && self.allowed(now) > 0
+        self.probe_due(now).is_some() && idle && self.grants_allowed(now) > 0
     }
 
-    /// Whether a probe is overdue, so that even a request of the highest tier may be it.
+    /// Whether a probe is overdue, so that even a request of the highest tier may be used for it.
     pub fn probe_overdue(&self, now: Micros) -> bool {
-        self.probe_due(now).is_some_and(|due| now >= due + PROBE_ANYWAY)
+        self.probe_due(now).is_some_and(|due| now >= due + PROBE_OVERDUE_AFTER)
     }
 
-    /// Since when, or from when on, a probe is due; `None` if it needs none.
+    /// When its next probe is or was due; `None` if it needs none.
     pub fn next_probe(&self) -> Option<Micros> {
         match self.health {
             Health::Good => None,
@@ -88,28 +90,29 @@
         }
     }
 
-    /// Since when a probe is due.
+    /// When its probe became due, if it is due at `now`.
     fn probe_due(&self, now: Micros) -> Option<Micros> {
         self.next_probe().filter(|due| now >= *due)
     }
 
-    /// A probe was sent to it, if it needs any: the next one is due later.
-    pub(super) fn probed(&mut self, now: Micros) {
+    /// Schedules the next probe of a slow or failing backend server, since a request was just sent
+    /// to it.
+    pub(super) fn schedule_probe(&mut self, now: Micros) {
         if let Health::Slow(due) | Health::Erring(due) = &mut self.health {
             *due = now + PROBE_PAUSE;
         }
     }
 
-    /// It answered a request.
-    pub(super) fn succeed(&mut self) {
+    /// Records that it answered a request.
+    pub(super) fn record_success(&mut self) {
         self.failures = 0;
         if let Health::Down(..) = self.health {
             self.health = Health::Good;
         }
     }
 
-    /// It produced tokens. Reports lag, so that those that come before the pause is over may tell
-    /// of tokens from before the failures.
+    /// Records that it produced tokens. Reports lag, so reports that arrive before the pause is
+    /// over may show tokens from before the failures and do not count.
     pub(super) fn end_outage(&mut self, now: Micros) {
         if let Health::Down(until, _) = self.health
             && now >= until
@@ -118,36 +121,36 @@
         }
     }
 
-    /// It failed a request.
-    pub(super) fn fail(&mut self, now: Micros) {
+    /// Records that it failed a request.
+    pub(super) fn record_failure(&mut self, now: Micros) {
         self.failures += 1;
         let pause = match self.health {
-            Health::Down(_, pause) => (pause * 2).min(DOWN_PAUSE_MOST),
+            Health::Down(_, pause) => (pause * 2).min(MAX_DOWN_PAUSE),
             _ if self.failures < FAILURES_TO_DOWN => return,
-            _ => DOWN_PAUSE,
+            _ => MIN_DOWN_PAUSE,
         };
         self.health = Health::Down(now + pause, pause);
         self.down_since = now;
         self.gap_samples = 0;
-        self.paces = Default::default();
+        self.token_gaps = Default::default();
     }
 
-    /// Whether an attempt was under way when the backend server went down. Its failure belongs to
-    /// the same outage: only attempts granted later tell whether that lasts.
+    /// Whether an attempt was running when the backend server went down. Its failure belongs to the
+    /// same outage: only attempts granted later show whether the outage lasts.
     pub(super) fn is_part_of_outage(&self, granted: Micros) -> bool {
         matches!(self.health, Health::Down(..)) && granted <= self.down_since
     }
 
-    /// The share of requests that failed lately, when there were enough.
+    /// Fraction of requests that failed recently, if there were enough.
     pub fn failure_rate(&self, now: Micros) -> Option<f64> {
         self.outlier_detector.failure_rate(now)
     }
 
-    /// Compares it with the pool's median share of failures; `spare` tells whether the pool can do
+    /// Compares its failure rate with the pool's median; `can_spare` tells whether the pool can do
     /// without it.
-    pub fn compare(&mut self, now: Micros, median: f64, spare: bool) {
+    pub fn update_outlier(&mut self, now: Micros, median: f64, can_spare: bool) {
         match self.health {
-            Health::Good if spare && self.outlier_detector.is_outlier(now, median) => {
+            Health::Good if can_spare && self.outlier_detector.is_outlier(now, median) => {
                 self.health = Health::Erring(now + PROBE_PAUSE);
             }
             Health::Erring(_) if self.outlier_detector.has_recovered() => {
@@ -158,20 +161,28 @@
         }
     }
 
-    /// Compares its streams of a kind with what is usual. Returns whether it has just become slow.
-    pub fn judge(&mut self, now: Micros, sensitivity: Sensitivity, usual: Usual) -> bool {
-        let Some(gap) = self.pace(now, sensitivity) else {
+    /// Compares its token gaps in streams of one sensitivity with the pool's baseline. Returns
+    /// whether it has just become slow.
+    pub fn check_slow(
+        &mut self,
+        now: Micros,
+        sensitivity: Sensitivity,
+        baseline: Baseline,
+    ) -> bool {
+        let Some(gap) = self.recent_gap(now, sensitivity) else {
             return false;
         };
-        let least = (usual.median + MILLISECOND as f64).max(usual.borne);
+        let threshold = (baseline.median + MILLISECOND as f64).max(baseline.acceptable);
         match self.health {
-            Health::Good if gap > usual.median * SLOW_FACTOR && gap > least => {
+            Health::Good if gap > baseline.median * SLOW_FACTOR && gap > threshold => {
                 self.health = Health::Slow(now + PROBE_PAUSE);
-                self.slow_in = sensitivity;
+                self.slow_sensitivity = sensitivity;
                 true
             }
-            Health::Slow(_) if sensitivity != self.slow_in => false,
-            Health::Slow(_) if gap < usual.median * GOOD_FACTOR || gap < usual.borne => {
+            Health::Slow(_) if sensitivity != self.slow_sensitivity => false,
+            Health::Slow(_)
+                if gap < baseline.median * RECOVERY_FACTOR || gap < baseline.acceptable =>
+            {
                 self.health = Health::Good;
                 false
             }
--- a/crates/drumusher-schedule/src/server/rate.rs
+++ b/crates/drumusher-schedule/src/server/rate.rs
@@ -1,51 +1,54 @@
-//! The requests a second that a backend server takes from this dispatcher, where it takes a limited number.
+//! Rate limiter for grants to a backend server that accepts a limited number of requests per second
+//! from this dispatcher.
 
 use crate::time::{MILLISECOND, Micros, SECOND};
 
-/// Grants that came due within this are made together, beyond the one that is saved up in any case: decisions are made
-/// at events, and twice within it at least.
-const TOGETHER: Micros = 100 * MILLISECOND;
+/// Grants that become due within this time may be made together, on top of the one that may always
+/// be saved up. Decisions are only made at events, of which there are at least two in this time.
+const BURST_TIME: Micros = 100 * MILLISECOND;
 
-/// A limited rate of grants.
+/// A token bucket for grants.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Rate {
+pub(super) struct Limiter {
     per_second: f64,
-    /// Grants that may be made at `at`.
-    saved: f64,
-    at: Micros,
+    /// Grants available at `at`.
+    available: f64,
+    updated: Micros,
 }
 
-impl Rate {
-    /// A rate from now on. Nothing is saved up: another dispatcher may have used what came due until now.
+impl Limiter {
+    /// A limiter from now on. It starts empty: another dispatcher may have used what became due
+    /// until now.
     pub(super) fn new(now: Micros, per_second: f64) -> Self {
-        Rate { per_second, saved: 0.0, at: now }
+        Limiter { per_second, available: 0.0, updated: now }
     }
 
-    /// Changes the rate. At none nothing stays saved up, since it is others who grant then.
-    pub(super) fn set(&mut self, now: Micros, per_second: f64) {
-        let saved = if per_second > 0.0 { self.saved(now) } else { 0.0 };
-        *self = Rate { per_second, saved, at: now };
-        self.saved = self.saved.min(self.most());
+    /// Changes the rate. A rate of zero empties the bucket, since other dispatchers grant in the
+    /// meantime.
+    pub(super) fn set_rate(&mut self, now: Micros, per_second: f64) {
+        let available = if per_second > 0.0 { self.available(now) } else { 0.0 };
+        *self = Limiter { per_second, available, updated: now };
+        self.available = self.available.min(self.burst());
     }
 
-    /// Grants a second.
+    /// Grants per second.
     pub(super) fn per_second(&self) -> f64 {
         self.per_second
     }
 
-    /// Grants that may be made now.
-    pub(super) fn saved(&self, now: Micros) -> f64 {
-        let passed = now.saturating_sub(self.at) as f64 / SECOND as f64;
-        (self.saved + passed * self.per_second).min(self.most())
+    /// Grants available now.
+    pub(super) fn available(&self, now: Micros) -> f64 {
+        let elapsed = now.saturating_sub(self.updated) as f64 / SECOND as f64;
+        (self.available + elapsed * self.per_second).min(self.burst())
     }
 
-    /// Counts a grant.
+    /// Takes one grant.
     pub(super) fn take(&mut self, now: Micros) {
-        self.saved = (self.saved(now) - 1.0).max(0.0);
-        self.at = now;
+        self.available = (self.available(now) - 1.0).max(0.0);
+        self.updated = now;
     }
 
-    fn most(&self) -> f64 {
-        1.0 + self.per_second * TOGETHER as f64 / SECOND as f64
+    fn burst(&self) -> f64 {
+        1.0 + self.per_second * BURST_TIME as f64 / SECOND as f64
     }
 }
