--- a/crates/drumusher-schedule/src/engine.rs
+++ b/crates/drumusher-schedule/src/engine.rs
@@ -1,13 +1,12 @@
-//! What a dispatcher believes of an engine that reads prompts piece by piece between the tokens of
-//! others and keeps what it read.
+//! A dispatcher's model of an engine with chunked prefill and a prompt cache.
 //!
-//! While an engine reads a long prompt, every stream beside it gets its tokens late. So requests
-//! are told apart: *patient* ones, whose prompts delay the streams with the tightest pauses too long
-//! and which bear longer pauses themselves, and *pressing* ones. Patient requests gather on some
-//! engines and pressing ones on the others; how many engines are on either side follows from the
-//! waits. A part of a prompt that one engine keeps draws the requests that share it there, because
-//! reading it again elsewhere is work for nothing. Where the wait there is long, another engine takes
-//! over what the first one keeps, which is much faster than reading it again.
+//! While an engine prefills a long prompt, the tokens of every other stream on it are delayed. So
+//! requests are of two kinds: *delay-tolerant* ones, whose prompts delay the streams with the
+//! smallest gap targets too long and which allow longer gaps themselves, and *delay-sensitive*
+//! ones. The two kinds are kept on different engines; how many engines each kind gets follows from
+//! the demand. A prompt part that an engine has cached attracts the requests that share it, because
+//! prefilling it again elsewhere is wasted work. Where the queue there is long, another engine
+//! transfers the cached part, which is much faster than prefilling it again.
 
 use std::collections::HashMap;
 
@@ -18,118 +17,121 @@
     time::{MILLISECOND, Micros, SECOND},
 };
 
-/// Time to read a token before one was seen, in microseconds.
-pub(crate) const READ_UNKNOWN: f64 = 20.0;
-/// Weight of a new sample in the mean time to read a token.
+/// Assumed time to prefill a token before the first sample, in microseconds.
+pub(crate) const DEFAULT_TOKEN_TIME: f64 = 20.0;
+/// Weight of a new sample in the mean time to prefill a token.
 const SMOOTHING: f64 = 0.15;
-/// A prompt with fewer tokens to read says little about the time to read one.
-const ENOUGH_TOKENS: u32 = 1_500;
-/// Growth of the shortest time seen at each sample, so that an engine that became slow is found out
-/// within some tens of prompts.
-const DRIFT: f64 = 1.01;
-/// Bounds of the time to read a token, in microseconds.
-const READ_BOUNDS: (f64, f64) = (1.0, 1_000.0);
-/// Time to take a token over from another engine before that was seen, in microseconds: a quarter of
-/// the time to read it. Links of 180 to 740 Gbit/s take 3.5 to 7.3.
-const MOVE_UNKNOWN: f64 = 5.0;
-/// Bounds of that time, in microseconds.
-const MOVE_BOUNDS: (f64, f64) = (0.5, 1_000.0);
-/// Tokens that take less than this to read, in microseconds, are not taken over: setting a copy up takes
-/// 2.5 to 4 ms on today's engines, and queues behind others on both links.
-const MOVE_LEAST: f64 = 10.0 * MILLISECOND as f64;
-/// Weight of the time that taking a token over takes: the links of two engines are in use.
-const MOVE_COUNTS: f64 = 2.0;
-/// What reading a shared token again counts, in microseconds of waiting: much more than the time
-/// it takes, because users count it as waste whether or not somebody waits.
-const AGAIN: f64 = 400.0;
-/// A prompt delays the streams beside it too long if reading all of it takes more than this part of
-/// the tightest pause. A stream's own steps take up the rest of the pause. Of today's classes those with
-/// short prompts take 0.2 to 0.4 of it, and those with long ones 0.9 to 1.5.
-pub(crate) const DELAYING: f64 = 0.6;
-/// What each pressing stream beside it counts for a patient request, in times that its prompt takes
-/// to read: the longer the prompt, the longer their tokens come late.
+/// Prompts with fewer tokens to prefill give no sample of the time per token.
+const MIN_SAMPLE_TOKENS: u32 = 1_500;
+/// Growth of the shortest time per token with each sample, so that an engine that became slow is
+/// detected within some tens of prompts.
+const FASTEST_DRIFT: f64 = 1.01;
+/// Bounds of the time to prefill a token, in microseconds.
+const TOKEN_TIME_BOUNDS: (f64, f64) = (1.0, 1_000.0);
+/// Assumed time to transfer a token from another engine before the first sample, in microseconds: a
+/// quarter of the time to prefill it. Links of 180 to 740 Gbit/s take 3.5 to 7.3.
+const DEFAULT_TRANSFER_TIME: f64 = 5.0;
+/// Bounds of the time to transfer a token, in microseconds.
+const TRANSFER_TIME_BOUNDS: (f64, f64) = (0.5, 1_000.0);
+/// Tokens that take less than this to prefill, in microseconds, are not transferred: setting up a
+/// copy takes 2.5 to 4 ms on current engines, and queues behind other copies on both links.
+const MIN_SAVED_PREFILL: f64 = 10.0 * MILLISECOND as f64;
+/// Weight of the transfer time in the cost: the links of two engines are busy.
+const TRANSFER_WEIGHT: f64 = 2.0;
+/// Cost of prefilling a shared token again, in microseconds of waiting. It is much more than the
+/// time it takes, because users count it as waste whether or not another request waits.
+const RECOMPUTE_COST: f64 = 400.0;
+/// A prompt delays the other streams on its engine too long if prefilling all of it takes more than
+/// this fraction of the smallest gap target. A stream's own steps take up the rest of the gap. Of
+/// the known request classes, those with short prompts take 0.2 to 0.4 of it, and those with long
+/// ones 0.9 to 1.5.
+pub(crate) const INTERFERENCE_THRESHOLD: f64 = 0.6;
+/// Cost of a delay-tolerant request for each delay-sensitive stream on the engine, as a multiple of
+/// its prefill time: the longer the prompt, the longer their tokens are delayed.
 const SENSITIVE_STREAM_WEIGHT: f64 = 2.0;
-/// What a request counts on the other side of the border, in microseconds of waiting, on top of the
-/// harm: about the tightest target of today's classes.
+/// Cost of placing a request on an engine of the other partition, in microseconds of waiting, on
+/// top of the interference: about the smallest target of the known request classes.
 const WRONG_PARTITION_COST: f64 = 300.0 * MILLISECOND as f64;
-/// What the time spent on patient prompts lately counts for a pressing request.
+/// Cost of recent delay-tolerant prompts for a delay-sensitive request, as a multiple of their
+/// prefill time.
 const TOLERANT_LOAD_WEIGHT: f64 = 2.0;
-/// For how long patient requests are remembered at an engine, as the time constant of a decay.
+/// Time constant of the decay of the delay-tolerant load, in microseconds.
 const TOLERANT_DECAY_TIME: f64 = 3.0 * SECOND as f64;
-/// What a running stream counts, in microseconds of waiting: tokens come slower beside others.
-const BESIDE: f64 = MILLISECOND as f64;
-/// Parts remembered of an engine.
-const PARTS: usize = 8_192;
+/// Cost of each running stream, in microseconds of waiting: tokens are slower beside other streams.
+const STREAM_COST: f64 = MILLISECOND as f64;
+/// Maximum prompt parts remembered per engine.
+const MAX_PARTS: usize = 8_192;
 
-/// A first event is overdue after twice the time that its prompt is believed to take, and this: the
-/// first tokens are made, and reports of them come every 50 ms.
-const TOLERANCE: Micros = 150 * MILLISECOND;
+/// A first event is overdue after twice the expected prefill time plus this: the first tokens have
+/// to be produced, and reports of them come every 50 ms.
+const OVERDUE_GRACE: Micros = 150 * MILLISECOND;
 
-/// What is to be placed.
+/// A prompt to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Work<'a> {
+pub struct Prompt<'a> {
     /// The parts of the prompt.
     pub parts: &'a [Part],
-    /// Tokens of the prompt.
-    pub prompt: u32,
-    /// Whether it bears long pauses between events.
+    /// Length of the prompt in tokens.
+    pub tokens: u32,
+    /// Whether the request allows long gaps between events.
     pub tolerant: bool,
-    /// The tightest pause between events that the classes in use bear.
-    pub tightest: Micros,
+    /// The smallest gap target of the classes in use.
+    pub tightest_gap: Micros,
 }
 
-/// How an engine comes by the tokens of a prompt that it does not keep.
+/// How an engine obtains the tokens of a prompt that it has not cached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
-    /// Tokens it reads.
+pub struct Prefill {
+    /// Tokens to prefill.
     pub tokens: u32,
-    /// Those among them that belong to shared parts another engine keeps.
-    pub again: u32,
-    /// Tokens it takes over from another engine.
-    pub moved: u32,
+    /// Of these, tokens of shared parts that another engine has cached.
+    pub recomputed: u32,
+    /// Tokens transferred from another engine.
+    pub transferred: u32,
 }
 
-/// A part of a prompt at an engine.
+/// A prompt part in an engine's cache.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
-    /// When a request with it was placed here last.
-    used: Micros,
-    /// Whether it was read whole, so that another engine can take it over.
-    whole: bool,
+struct CachedPart {
+    /// When a request with this part was last placed on the engine.
+    last_used: Micros,
+    /// Whether the part is completely prefilled, so that another engine can transfer it.
+    complete: bool,
 }
 
-/// A request whose first event did not come yet.
+/// A request whose first event has not arrived yet.
 #[derive(Clone, Debug)]
 struct Pending {
     granted: Micros,
-    reading: Reading,
+    prefill: Prefill,
     /// The parts of its prompt.
     parts: Vec<u64>,
-    /// Whether others were before it, so that its wait says nothing about the time to read.
+    /// Whether it queued behind other prompts, so that its wait says nothing about the time to
+    /// prefill a token.
     queued: bool,
-    /// When its prompt is believed to be read.
-    done: Micros,
+    /// When its prompt is expected to be prefilled.
+    expected_done: Micros,
 }
 
-/// What is believed of one engine.
+/// State of one engine.
 #[derive(Debug)]
 pub struct Engine {
-    kept: HashMap<u64, Kept>,
+    cache: HashMap<u64, CachedPart>,
     pending: HashMap<Id, Pending>,
-    read: f64,
-    /// Time to take over a token.
-    moving: f64,
-    /// The shortest time to read a token that was seen lately: without others beside it.
-    fastest: Option<f64>,
+    token_time: f64,
+    /// Time to transfer a token.
+    transfer_time: f64,
+    /// The shortest recent time to prefill a token, which is without other prompts beside it.
+    fastest_token_time: Option<f64>,
     sensitive: u32,
     running: u32,
-    /// Time spent on patient prompts lately, decayed to `patient_at`.
+    /// Recent prefill time of delay-tolerant prompts, decayed to `tolerant_at`.
     tolerant_load: f64,
     tolerant_at: Micros,
 }
 
-impl Work<'_> {
-    /// The longest part that other requests may share: the last one is the request's own.
+impl Prompt<'_> {
+    /// The longest part that other requests may share: the last part is the request's own.
     pub fn shared(&self) -> Option<Part> {
         let shared = self.parts.split_last().map_or(&[][..], |(_, shared)| shared);
         shared.iter().copied().max_by_key(|part| part.tokens)
@@ -146,11 +148,11 @@
     /// An engine of which nothing is known.
     pub fn new() -> Self {
         Engine {
-            kept: HashMap::new(),
+            cache: HashMap::new(),
             pending: HashMap::new(),
-            read: READ_UNKNOWN,
-            moving: MOVE_UNKNOWN,
-            fastest: None,
+            token_time: DEFAULT_TOKEN_TIME,
+            transfer_time: DEFAULT_TRANSFER_TIME,
+            fastest_token_time: None,
             sensitive: 0,
             running: 0,
             tolerant_load: 0.0,
@@ -158,109 +160,130 @@
         }
     }
 
-    /// Microseconds to read a token.
-    pub fn read_time(&self) -> f64 {
-        self.read
+    /// Time to prefill a token, in microseconds.
+    pub fn token_time(&self) -> f64 {
+        self.token_time
     }
 
-    /// The shortest time to read a token that was seen lately, in microseconds.
-    pub fn fastest(&self) -> Option<f64> {
-        self.fastest
+    /// The shortest recent time to prefill a token, in microseconds.
+    pub fn fastest_token_time(&self) -> Option<f64> {
+        self.fastest_token_time
     }
 
-    /// Whether it keeps a part.
-    pub fn keeps(&self, part: u64) -> bool {
-        self.kept.contains_key(&part)
+    /// Whether it has a part in its cache.
+    pub fn has_cached(&self, part: u64) -> bool {
+        self.cache.contains_key(&part)
     }
 
-    /// It told that it keeps these parts.
-    pub fn keep(&mut self, now: Micros, parts: &[u64]) {
+    /// Records that it reported these parts as cached.
+    pub fn add_cached(&mut self, now: Micros, parts: &[u64]) {
         for part in parts {
-            self.kept.insert(*part, Kept { used: now, whole: true });
+            self.cache.insert(*part, CachedPart { last_used: now, complete: true });
         }
-        self.forget_oldest();
+        self.evict_oldest();
     }
 
-    /// Tokens of a prompt that it does not keep: from the first part that it does not keep.
-    pub fn to_read(&self, work: &Work<'_>) -> u32 {
-        let kept = work.parts.iter().take_while(|part| self.keeps(part.id));
-        work.prompt.saturating_sub(kept.map(|part| part.tokens).sum())
+    /// Tokens of a prompt from the first part on that it has not cached.
+    pub fn uncached_tokens(&self, prompt: &Prompt<'_>) -> u32 {
+        let cached = prompt.parts.iter().take_while(|part| self.has_cached(part.id));
+        prompt.tokens.saturating_sub(cached.map(|part| part.tokens).sum())
     }
 
-    /// Tokens at the beginning of a prompt that another engine can take over from here, and when the
-    /// last of their parts was used.
-    pub fn offers(&self, work: &Work<'_>) -> (u32, Micros) {
-        let kept = work.parts.iter().map_while(|part| {
-            let kept = self.kept.get(&part.id).filter(|kept| kept.whole)?;
-            Some((part.tokens, kept.used))
+    /// Tokens at the start of a prompt that another engine can transfer from here, and the least
+    /// recent use of their parts.
+    pub fn transferable(&self, prompt: &Prompt<'_>) -> (u32, Micros) {
+        let cached = prompt.parts.iter().map_while(|part| {
+            let cached = self.cache.get(&part.id).filter(|cached| cached.complete)?;
+            Some((part.tokens, cached.last_used))
         });
-        kept.fold((0, Micros::MAX), |(sum, oldest), (tokens, used)| {
-            (sum + tokens, oldest.min(used))
+        cached.fold((0, Micros::MAX), |(sum, oldest), (tokens, last_used)| {
+            (sum + tokens, oldest.min(last_used))
         })
     }
 
-    /// How it comes by a prompt of which other engines keep `again` tokens and one offers `offered`.
-    pub fn reading(&self, work: &Work<'_>, again: u32, offered: u32) -> Reading {
-        let missing = self.to_read(work);
-        let kept = work.prompt.saturating_sub(missing);
-        let moved = offered.saturating_sub(kept);
-        let moved = if f64::from(moved) * self.read < MOVE_LEAST { 0 } else { moved };
-        Reading {
-            tokens: missing.saturating_sub(moved),
-            again: again.saturating_sub(kept + moved),
-            moved,
+    /// How it obtains a prompt of which other engines have `cached_elsewhere` tokens and one can
+    /// transfer `transferable`.
+    pub fn prefill(
+        &self,
+        prompt: &Prompt<'_>,
+        cached_elsewhere: u32,
+        transferable: u32,
+    ) -> Prefill {
+        let uncached = self.uncached_tokens(prompt);
+        let cached = prompt.tokens.saturating_sub(uncached);
+        let transferred = transferable.saturating_sub(cached);
+        let transferred = if f64::from(transferred) * self.token_time < MIN_SAVED_PREFILL {
+            0
+        } else {
+            transferred
+        };
+        Prefill {
+            tokens: uncached.saturating_sub(transferred),
+            recomputed: cached_elsewhere.saturating_sub(cached + transferred),
+            transferred,
         }
     }
 
-    /// The time that takes, in microseconds.
-    pub fn reading_time(&self, reading: Reading) -> f64 {
-        f64::from(reading.tokens) * self.read + f64::from(reading.moved) * self.moving
+    /// Time that a prefill takes, in microseconds.
+    pub fn prefill_time(&self, prefill: Prefill) -> f64 {
+        f64::from(prefill.tokens) * self.token_time
+            + f64::from(prefill.transferred) * self.transfer_time
     }
 
-    /// The weight of the engine of a rank for a part that none keeps. All dispatchers compute it
-    /// alike, so that a new one places requests as the last one did.
+    /// Rendezvous hash of a prompt part for the engine with this rank. All dispatchers compute the
+    /// same one, so that a new one places requests as its predecessor did.
     pub fn weight(part: u64, rank: u64) -> u64 {
         xxh3_64_with_seed(&part.to_be_bytes(), rank)
     }
 
-    /// Time until the prompts it was given are read. One that is overdue is expected to take as long
-    /// again, so that an engine that became slow or silent draws nothing more.
-    pub fn wait(&self, now: Micros) -> Micros {
-        let done = self.pending.values().map(|pending| pending.done).max().unwrap_or(0);
-        done.saturating_sub(now).max(self.overdue(now))
+    /// Time until the prompts that it was given are prefilled. An overdue prompt is expected to
+    /// take as long again, so that an engine that became slow or silent attracts no more requests.
+    pub fn queue_time(&self, now: Micros) -> Micros {
+        let expected_done =
+            self.pending.values().map(|pending| pending.expected_done).max().unwrap_or(0);
+        expected_done.saturating_sub(now).max(self.overdue(now))
     }
 
-    /// For how long the first event of a request has been overdue.
+    /// How long the first event of a request has been overdue.
     fn overdue(&self, now: Micros) -> Micros {
-        let due = |pending: &Pending| pending.done + (pending.done - pending.granted) + TOLERANCE;
+        let due = |pending: &Pending| {
+            pending.expected_done + (pending.expected_done - pending.granted) + OVERDUE_GRACE
+        };
         let first = self.pending.values().map(due).min().unwrap_or(now);
         now.saturating_sub(first)
     }
 
-    /// What placing a request here costs, in microseconds of waiting.
-    /// `own_side` tells whether it is on the request's side of the border.
-    pub fn cost(&self, now: Micros, work: &Work<'_>, reading: Reading, in_partition: bool) -> f64 {
-        let waiting = self.wait(now) as f64 + self.reading_time(reading);
-        let again = f64::from(reading.again) * AGAIN;
-        let moved = f64::from(reading.moved) * self.moving * (MOVE_COUNTS - 1.0);
-        let beside = f64::from(self.running) * BESIDE;
-        let apart = if work.tolerant {
-            self.harm(waiting, work, reading)
+    /// Cost of placing a request here, in microseconds of waiting. `in_partition` tells whether the
+    /// engine is in the request's partition.
+    pub fn cost(
+        &self,
+        now: Micros,
+        prompt: &Prompt<'_>,
+        prefill: Prefill,
+        in_partition: bool,
+    ) -> f64 {
+        let wait = self.queue_time(now) as f64 + self.prefill_time(prefill);
+        let recompute = f64::from(prefill.recomputed) * RECOMPUTE_COST;
+        let transfer =
+            f64::from(prefill.transferred) * self.transfer_time * (TRANSFER_WEIGHT - 1.0);
+        let streams = f64::from(self.running) * STREAM_COST;
+        let interference = if prompt.tolerant {
+            self.interference(wait, prompt, prefill)
         } else {
             self.recent_tolerant_load(now) * if in_partition { 0.0 } else { TOLERANT_LOAD_WEIGHT }
         };
-        let side = if in_partition { 0.0 } else { WRONG_PARTITION_COST };
-        waiting + again + moved + beside + apart + side
+        let partition = if in_partition { 0.0 } else { WRONG_PARTITION_COST };
+        wait + recompute + transfer + streams + interference + partition
     }
 
-    /// What a patient prompt does to the pressing streams beside it: nothing if it and those before
-    /// it are read within a part of the pause that they bear. So a burst of long prompts may use the
-    /// engines of both sides.
-    fn harm(&self, waiting: f64, work: &Work<'_>, reading: Reading) -> f64 {
-        if waiting <= work.tightest as f64 * DELAYING {
+    /// Cost of a delay-tolerant prompt for the delay-sensitive streams beside it. It is zero if the
+    /// prompt and those queued before it are prefilled within a fraction of the smallest gap
+    /// target, so that a burst of long prompts may use the engines of both partitions.
+    fn interference(&self, wait: f64, prompt: &Prompt<'_>, prefill: Prefill) -> f64 {
+        if wait <= prompt.tightest_gap as f64 * INTERFERENCE_THRESHOLD {
             return 0.0;
         }
-        f64::from(self.sensitive) * self.reading_time(reading) * SENSITIVE_STREAM_WEIGHT
+        f64::from(self.sensitive) * self.prefill_time(prefill) * SENSITIVE_STREAM_WEIGHT
     }
 
     fn recent_tolerant_load(&self, now: Micros) -> f64 {
@@ -268,84 +291,87 @@
         self.tolerant_load * (-age / TOLERANT_DECAY_TIME).exp()
     }
 
-    /// A request was placed here.
-    pub fn start(&mut self, now: Micros, id: Id, work: &Work<'_>, reading: Reading) {
-        let time = self.reading_time(reading) as Micros;
-        let wait = self.wait(now);
-        let parts = work.parts.iter().map(|part| part.id).collect();
-        let (queued, done) = (wait > 0, now + wait + time);
-        self.pending.insert(id, Pending { granted: now, reading, parts, queued, done });
+    /// Records that a request was placed here.
+    pub fn start(&mut self, now: Micros, id: Id, prompt: &Prompt<'_>, prefill: Prefill) {
+        let time = self.prefill_time(prefill) as Micros;
+        let queue_time = self.queue_time(now);
+        let parts = prompt.parts.iter().map(|part| part.id).collect();
+        let (queued, expected_done) = (queue_time > 0, now + queue_time + time);
+        self.pending.insert(id, Pending { granted: now, prefill, parts, queued, expected_done });
         self.running += 1;
-        if work.tolerant {
+        if prompt.tolerant {
             self.tolerant_load = self.recent_tolerant_load(now) + time as f64;
             self.tolerant_at = now;
         } else {
             self.sensitive += 1;
         }
-        for part in work.parts {
-            let whole = self.kept.get(&part.id).is_some_and(|kept| kept.whole);
-            self.kept.insert(part.id, Kept { used: now, whole });
+        for part in prompt.parts {
+            let complete = self.cache.get(&part.id).is_some_and(|cached| cached.complete);
+            self.cache.insert(part.id, CachedPart { last_used: now, complete });
         }
-        self.forget_oldest();
+        self.evict_oldest();
     }
 
-    fn forget_oldest(&mut self) {
-        if self.kept.len() <= PARTS {
+    fn evict_oldest(&mut self) {
+        if self.cache.len() <= MAX_PARTS {
             return;
         }
-        let sum: u128 = self.kept.values().map(|kept| u128::from(kept.used)).sum();
-        let middle = (sum / self.kept.len() as u128) as Micros;
-        self.kept.retain(|_, kept| kept.used >= middle);
+        let sum: u128 = self.cache.values().map(|cached| u128::from(cached.last_used)).sum();
+        let mean_use = (sum / self.cache.len() as u128) as Micros;
+        self.cache.retain(|_, cached| cached.last_used >= mean_use);
     }
 
-    /// The first event of a request came `first` after it was handed over.
-    pub fn first_event(&mut self, id: Id, first: Micros) {
-        let Some(pending) = self.read_whole(id) else {
+    /// Records that the first event of a request arrived `elapsed` after it was handed over.
+    pub fn first_event(&mut self, id: Id, elapsed: Micros) {
+        let Some(pending) = self.complete_prefill(id) else {
             return;
         };
-        let Reading { tokens, moved, .. } = pending.reading;
+        let Prefill { tokens, transferred, .. } = pending.prefill;
         if pending.queued {
             return;
         }
-        if moved > 0 {
-            self.learn_move(first as f64 - f64::from(tokens) * self.read, moved);
+        if transferred > 0 {
+            self.record_transfer(elapsed as f64 - f64::from(tokens) * self.token_time, transferred);
             return;
         }
-        if tokens < ENOUGH_TOKENS {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
-        let seen = first as f64 / f64::from(tokens);
-        let seen = seen.clamp(READ_BOUNDS.0, READ_BOUNDS.1);
-        self.read += (seen - self.read) * SMOOTHING;
-        self.fastest = Some(self.fastest.map_or(seen, |fastest| seen.min(fastest * DRIFT)));
+        let seen = elapsed as f64 / f64::from(tokens);
+        let seen = seen.clamp(TOKEN_TIME_BOUNDS.0, TOKEN_TIME_BOUNDS.1);
+        self.token_time += (seen - self.token_time) * SMOOTHING;
+        self.fastest_token_time = Some(
+            self.fastest_token_time.map_or(seen, |shortest| seen.min(shortest * FASTEST_DRIFT)),
+        );
     }
 
-    /// Taking over `moved` tokens took `time` microseconds.
-    fn learn_move(&mut self, time: f64, moved: u32) {
-        let seen = (time / f64::from(moved)).clamp(MOVE_BOUNDS.0, MOVE_BOUNDS.1);
-        self.moving += (seen - self.moving) * SMOOTHING;
+    /// Records that transferring `tokens` tokens took `time` microseconds.
+    fn record_transfer(&mut self, time: f64, tokens: u32) {
+        let seen = (time / f64::from(tokens)).clamp(TRANSFER_TIME_BOUNDS.0, TRANSFER_TIME_BOUNDS.1);
+        self.transfer_time += (seen - self.transfer_time) * SMOOTHING;
     }
 
-    /// The prompt of a request was read.
-    fn read_whole(&mut self, id: Id) -> Option<Pending> {
+    /// Records that the prompt of a request is prefilled.
+    fn complete_prefill(&mut self, id: Id) -> Option<Pending> {
         let pending = self.pending.remove(&id)?;
         for part in &pending.parts {
-            self.kept.insert(*part, Kept { used: pending.granted, whole: true });
+            self.cache.insert(*part, CachedPart { last_used: pending.granted, complete: true });
         }
         Some(pending)
     }
 
-    /// A request that another dispatcher placed here has its first event already.
-    pub fn begun(&mut self, id: Id) {
-        self.read_whole(id);
+    /// Records that a request placed here by another dispatcher already had its first event.
+    pub fn mark_prefilled(&mut self, id: Id) {
+        self.complete_prefill(id);
     }
 
-    /// A request ended. What was not read until then may be missing.
+    /// Records the end of a request. Parts that were not completely prefilled by then may be
+    /// missing.
     pub fn end(&mut self, id: Id, tolerant: bool) {
         if let Some(pending) = self.pending.remove(&id) {
             for part in &pending.parts {
-                if self.kept.get(part).is_some_and(|kept| !kept.whole) {
-                    self.kept.remove(part);
+                if self.cache.get(part).is_some_and(|cached| !cached.complete) {
+                    self.cache.remove(part);
                 }
             }
         }
@@ -355,8 +381,8 @@
         }
     }
 
-    /// Since when the request that waits longest for its first event was given to it.
-    pub fn longest_pending(&self) -> Option<Micros> {
+    /// Grant time of the request that has waited longest for its first event.
+    pub fn oldest_pending(&self) -> Option<Micros> {
         self.pending.values().map(|pending| pending.granted).min()
     }
 }
--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -124,7 +124,7 @@
             Event::Load(load) => self.apply_report(now, &load),
             Event::CachedParts(key, parts) => {
                 if let Some(server) = self.server(key) {
-                    server.engine_mut().keep(now, &parts);
+                    server.engine_mut().add_cached(now, &parts);
                 }
             }
             Event::Server(key, options) => self.join(key, options),
--- a/crates/drumusher-schedule/src/pool/grant.rs
+++ b/crates/drumusher-schedule/src/pool/grant.rs
@@ -3,7 +3,7 @@
 use super::{Pool, place::Place, scope::Scope};
 use crate::{
     ask::{Ask, Key, Running, State, Waiting},
-    engine::Reading,
+    engine::Prefill,
     order::{Choice, Order},
     policy::{ClassKey, WorkspaceKey},
     server,
@@ -177,7 +177,7 @@
             return false;
         };
         let ask = waiting.ask.clone();
-        let Some(Place { server, reading, source, expected }) = self.choose(now, &ask, scope)
+        let Some(Place { server, prefill, source, expected }) = self.choose(now, &ask, scope)
         else {
             return false;
         };
@@ -198,7 +198,7 @@
         self.grants += 1;
         let cost = self.cost(&waiting.ask);
         self.credit_floors(waiting.ask.class, cost, reserved);
-        self.run(now, waiting, server, reading, reserved);
+        self.run(now, waiting, server, prefill, reserved);
         true
     }
 
@@ -253,7 +253,7 @@
             }
         }
         let (.., server) = best?;
-        Some(Place { server, reading: Reading::default(), source: None, expected: 0 })
+        Some(Place { server, prefill: Prefill::default(), source: None, expected: 0 })
     }
 
     /// Mean time between tokens over the backend servers of which it was seen.
@@ -274,7 +274,7 @@
         now: Micros,
         waiting: Waiting,
         server: server::Key,
-        reading: Reading,
+        prefill: Prefill,
         reserved: bool,
     ) {
         let Waiting { ask, tier, .. } = waiting;
@@ -284,12 +284,12 @@
         self.share.charge(&policy, tier, ask.workspace, prompt + charged);
         self.share.consume(&policy, ask.workspace, prompt, now);
         self.share.usage(ask.workspace).running += 1;
-        let work = self.work(now, &ask);
+        let work = self.prompt(now, &ask);
         let tolerant = work.tolerant;
         if let Some(server) = self.server(server) {
             server.start(now, ask.prefix);
-            let time = f64::from(reading.tokens) * server.engine().read_time();
-            server.engine_mut().start(now, ask.id, &work, reading);
+            let time = f64::from(prefill.tokens) * server.engine().token_time();
+            server.engine_mut().start(now, ask.id, &work, prefill);
             self.partition.record(now, tolerant, time);
         }
         let stoppable = ask.repeatable && !reserved && ask.preemptions < policy.preemptions;
--- a/crates/drumusher-schedule/src/pool/place.rs
+++ b/crates/drumusher-schedule/src/pool/place.rs
@@ -6,7 +6,7 @@
 use super::{Pool, scope::Scope};
 use crate::{
     ask::Ask,
-    engine::{Engine, Reading, Work},
+    engine::{Engine, Prefill, Prompt},
     server::{self, Server},
     time::Micros,
 };
@@ -23,7 +23,7 @@
     /// The backend server.
     pub(super) server: server::Key,
     /// How the engine comes by the prompt; nothing to read for a plain service.
-    pub(super) reading: Reading,
+    pub(super) prefill: Prefill,
     /// The engine from which it takes over what that one keeps.
     pub(super) source: Option<server::Key>,
     /// How long its first event is expected to take; 0 if nothing is known.
@@ -34,49 +34,50 @@
     /// The engine in scope on which the request costs least, another than the one to avoid if there
     /// is one.
     pub(super) fn place(&mut self, now: Micros, ask: &Ask, scope: Scope) -> Option<Place> {
-        let work = self.work(now, ask);
-        let again = self.kept_somewhere(&work);
-        let source = self.policy.switches.sources.then(|| self.source(&work, ask.avoid)).flatten();
-        let offered = source.map_or(0, |(tokens, _)| tokens);
+        let prompt = self.prompt(now, ask);
+        let cached_elsewhere = self.max_cached(&prompt);
+        let source =
+            self.policy.switches.sources.then(|| self.source(&prompt, ask.avoid)).flatten();
+        let transferable = source.map_or(0, |(tokens, _)| tokens);
         let tolerant_partition = self.tolerant_partition(now);
         let in_partition = |key: server::Key| {
             tolerant_partition
                 .as_ref()
-                .is_none_or(|engines| engines.binary_search(&key).is_ok() == work.tolerant)
+                .is_none_or(|engines| engines.binary_search(&key).is_ok() == prompt.tolerant)
         };
-        let shared = work.shared().map_or(0.0, |part| f64::from(part.tokens));
-        let unknown = again == 0 && self.policy.switches.usual_engine;
-        let usual = if unknown { self.usual_engine(&work, in_partition) } else { None };
-        let mut best: Option<(bool, bool, f64, server::Key, Reading)> = None;
+        let shared = prompt.shared().map_or(0.0, |part| f64::from(part.tokens));
+        let unknown = cached_elsewhere == 0 && self.policy.switches.usual_engine;
+        let usual = if unknown { self.usual_engine(&prompt, in_partition) } else { None };
+        let mut best: Option<(bool, bool, f64, server::Key, Prefill)> = None;
         for (key, server) in self.servers() {
             if !scope.has(server, now) || self.rests.has(now, ask.entry, key) {
                 continue;
             }
-            let reading = server.engine().reading(&work, again, offered);
+            let prefill = server.engine().prefill(&prompt, cached_elsewhere, transferable);
             let (beside, avoided) = (ask.anti_affinity.contains(&key), ask.avoid == Some(key));
             let elsewhere = usual.is_some_and(|usual| usual != key);
             let strange = if elsewhere { shared * ELSEWHERE } else { 0.0 };
-            let cost = server.engine().cost(now, &work, reading, in_partition(key)) + strange;
+            let cost = server.engine().cost(now, &prompt, prefill, in_partition(key)) + strange;
             if best.is_none_or(|(b, a, c, ..)| (beside, avoided, cost) < (b, a, c)) {
-                best = Some((beside, avoided, cost, key, reading));
+                best = Some((beside, avoided, cost, key, prefill));
             }
         }
-        let (.., server, reading) = best?;
-        let source = source.filter(|_| reading.moved > 0).map(|(_, key)| key);
+        let (.., server, prefill) = best?;
+        let source = source.filter(|_| prefill.transferred > 0).map(|(_, key)| key);
         let engine = self.servers[usize::from(server.0)].as_ref()?.engine();
-        let expected = engine.wait(now) + engine.reading_time(reading) as Micros;
+        let expected = engine.queue_time(now) + engine.prefill_time(prefill) as Micros;
         let expected = if self.policy.switches.expected { expected } else { 0 };
-        Some(Place { server, reading, source, expected })
+        Some(Place { server, prefill, source, expected })
     }
 
     /// What is to be placed, with what is known of its class.
-    pub(super) fn work<'a>(&self, now: Micros, ask: &'a Ask) -> Work<'a> {
+    pub(super) fn prompt<'a>(&self, now: Micros, ask: &'a Ask) -> Prompt<'a> {
         let tightest = self.tightest_gap(now).unwrap_or(0);
-        Work {
+        Prompt {
             parts: &ask.parts,
-            prompt: ask.prompt,
+            tokens: ask.prompt,
             tolerant: self.is_tolerant(now, ask.class),
-            tightest: if self.policy.switches.harm { tightest } else { 0 },
+            tightest_gap: if self.policy.switches.harm { tightest } else { 0 },
         }
     }
 
@@ -86,22 +87,26 @@
     /// Guards against reading again what lies on a busy engine. Nine engines under bursts of long
     /// prompts, half a minute each: 2.4% of the tokens read had been read before, 13.9% with the switch
     /// `sources` off.
-    fn source(&self, work: &Work<'_>, avoid: Option<server::Key>) -> Option<(u32, server::Key)> {
+    fn source(
+        &self,
+        prompt: &Prompt<'_>,
+        avoid: Option<server::Key>,
+    ) -> Option<(u32, server::Key)> {
         let engines = self.servers().filter(|(key, server)| {
             avoid != Some(*key) && !server.leaving() && server.next_probe().is_none()
         });
-        let offers = engines.map(|(key, server)| (server.engine().offers(work), key));
-        let ((tokens, _), key) = offers.max_by_key(|(offer, _)| *offer)?;
+        let transferable = engines.map(|(key, server)| (server.engine().transferable(prompt), key));
+        let ((tokens, _), key) = transferable.max_by_key(|(offer, _)| *offer)?;
         (tokens > 0).then_some((tokens, key))
     }
 
     /// The engine on which the shared part of a prompt belongs as long as none keeps it.
     fn usual_engine(
         &self,
-        work: &Work<'_>,
+        prompt: &Prompt<'_>,
         in_partition: impl Fn(server::Key) -> bool,
     ) -> Option<server::Key> {
-        let part = work.shared()?;
+        let part = prompt.shared()?;
         let engines = self.servers().filter(|(_, s)| !s.leaving() && s.next_probe().is_none());
         let engines = engines.filter(|(key, _)| in_partition(*key));
         let weighed = engines.map(|(key, server)| (Engine::weight(part.id, server.rank()), key));
@@ -130,15 +135,16 @@
     }
 
     /// Tokens at the beginning of a prompt that some engine keeps.
-    fn kept_somewhere(&self, work: &Work<'_>) -> u32 {
+    fn max_cached(&self, prompt: &Prompt<'_>) -> u32 {
         let engines = self.servers().filter(|(_, server)| !server.leaving());
-        let kept = engines.map(|(_, server)| work.prompt - server.engine().to_read(work));
-        kept.max().unwrap_or(0)
+        let cached =
+            engines.map(|(_, server)| prompt.tokens - server.engine().uncached_tokens(prompt));
+        cached.max().unwrap_or(0)
     }
 }
 
 /// Whether an engine reads more slowly than is usual in its pool.
 fn is_slow(server: &Server, usual_read: Option<f64>) -> bool {
-    let fastest = server.engine().fastest();
-    fastest.zip(usual_read).is_some_and(|(own, usual)| own > usual * SLOW_READ)
+    let fastest_token_time = server.engine().fastest_token_time();
+    fastest_token_time.zip(usual_read).is_some_and(|(own, usual)| own > usual * SLOW_READ)
 }
--- a/crates/drumusher-schedule/src/pool/sensitivity.rs
+++ b/crates/drumusher-schedule/src/pool/sensitivity.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::{
     ask::Ask,
-    engine::{DELAYING, READ_UNKNOWN},
+    engine::{DEFAULT_TOKEN_TIME, INTERFERENCE_THRESHOLD},
     outlier,
     policy::ClassKey,
     server::Sensitivity,
@@ -45,8 +45,9 @@
             return false;
         };
         let prompt = self.demand.get(&key).map_or(0.0, |demand| demand.prompt);
-        let delay = prompt * self.usual_read.unwrap_or(READ_UNKNOWN);
-        self.policy.class(key).token_gap > tightest && delay > tightest as f64 * DELAYING
+        let delay = prompt * self.usual_read.unwrap_or(DEFAULT_TOKEN_TIME);
+        self.policy.class(key).token_gap > tightest
+            && delay > tightest as f64 * INTERFERENCE_THRESHOLD
     }
 
     /// Whether both delay-tolerant and delay-sensitive classes had requests recently. With one kind
@@ -76,7 +77,7 @@
     /// Updates the median of the engines' shortest times to prefill a token.
     pub(super) fn look_at_reading(&mut self) {
         let seen: Vec<f64> =
-            self.servers().filter_map(|(_, server)| server.engine().fastest()).collect();
+            self.servers().filter_map(|(_, server)| server.engine().fastest_token_time()).collect();
         self.usual_read = (!seen.is_empty()).then(|| outlier::median(seen.into_iter()));
     }
 }
--- a/crates/drumusher-schedule/src/pool/track.rs
+++ b/crates/drumusher-schedule/src/pool/track.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::{
     ask::{Ask, Id, Outcome, State, Waiting},
-    engine::{Reading, Work},
+    engine::{Prefill, Prompt},
     event::Progress,
     server,
     time::Micros,
@@ -25,8 +25,8 @@
             ask,
         };
         let id = waiting.ask.id;
-        let reading = self.reading_at(&waiting.ask, server);
-        self.run(now, waiting, server, reading, false);
+        let prefill = self.local_prefill(&waiting.ask, server);
+        self.run(now, waiting, server, prefill, false);
         if let Some(server) = self.server(server) {
             server.backdate_grant();
         }
@@ -38,15 +38,16 @@
         if running.produced > 0
             && let Some(server) = self.server(server)
         {
-            server.engine_mut().begun(id);
+            server.engine_mut().mark_prefilled(id);
         }
     }
 
     /// How an engine comes by a prompt of which nothing is taken over.
-    fn reading_at(&mut self, ask: &Ask, server: server::Key) -> Reading {
-        let work = Work { parts: &ask.parts, prompt: ask.prompt, tolerant: false, tightest: 0 };
+    fn local_prefill(&mut self, ask: &Ask, server: server::Key) -> Prefill {
+        let prompt =
+            Prompt { parts: &ask.parts, tokens: ask.prompt, tolerant: false, tightest_gap: 0 };
         self.server(server)
-            .map_or_else(Reading::default, |server| server.engine().reading(&work, 0, 0))
+            .map_or_else(Prefill::default, |server| server.engine().prefill(&prompt, 0, 0))
     }
 
     pub(super) fn withdraw(&mut self, id: Id) {
--- a/crates/drumusher-schedule/tests/schedule/engine.rs
+++ b/crates/drumusher-schedule/tests/schedule/engine.rs
@@ -2,7 +2,7 @@
 
 use drumusher_schedule::{
     ask::{Id, Part},
-    engine::{Engine, Reading, Work},
+    engine::{Engine, Prefill, Prompt},
     partition::Partition,
     time::{MILLISECOND, Micros, SECOND},
 };
@@ -10,41 +10,41 @@
 
 const SHARED: [Part; 2] = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 4_500 }];
 
-fn work(parts: &[Part], tolerant: bool) -> Work<'_> {
-    Work { parts, prompt: 6_000, tolerant, tightest: 100 * MILLISECOND }
+fn prompt(parts: &[Part], tolerant: bool) -> Prompt<'_> {
+    Prompt { parts, tokens: 6_000, tolerant, tightest_gap: 100 * MILLISECOND }
 }
 
-fn reading(engine: &Engine, work: &Work<'_>, kept_elsewhere: u32) -> Reading {
-    engine.reading(work, kept_elsewhere, 0)
+fn prefill(engine: &Engine, prompt: &Prompt<'_>, cached_elsewhere: u32) -> Prefill {
+    engine.prefill(prompt, cached_elsewhere, 0)
 }
 
 /// Places a request of which nothing is taken over from another engine.
-fn start(engine: &mut Engine, now: Micros, id: Id, work: &Work<'_>) {
-    engine.start(now, id, work, engine.reading(work, 0, 0));
+fn start(engine: &mut Engine, now: Micros, id: Id, prompt: &Prompt<'_>) {
+    engine.start(now, id, prompt, engine.prefill(prompt, 0, 0));
 }
 
 #[test]
 fn only_the_parts_before_the_first_missing_one_are_kept() {
     let mut engine = Engine::new();
-    let whole = work(&SHARED, true);
-    assert_eq!(engine.to_read(&whole), 6_000);
+    let whole = prompt(&SHARED, true);
+    assert_eq!(engine.uncached_tokens(&whole), 6_000);
     start(&mut engine, SECOND, 1, &whole);
-    assert_eq!(engine.to_read(&whole), 1_000);
+    assert_eq!(engine.uncached_tokens(&whole), 1_000);
     let other = [Part { id: 9, tokens: 10 }, SHARED[1]];
-    assert_eq!(engine.to_read(&work(&other, true)), 6_000);
+    assert_eq!(engine.uncached_tokens(&prompt(&other, true)), 6_000);
 }
 
 #[test]
 fn the_wait_is_that_of_the_prompts_before() {
     let mut engine = Engine::new();
-    start(&mut engine, SECOND, 1, &work(&[], true));
-    let wait = engine.wait(SECOND);
-    assert_eq!(wait as f64, 6_000.0 * engine.read_time());
-    start(&mut engine, SECOND, 2, &work(&[], true));
-    assert_eq!(engine.wait(SECOND), 2 * wait);
+    start(&mut engine, SECOND, 1, &prompt(&[], true));
+    let wait = engine.queue_time(SECOND);
+    assert_eq!(wait as f64, 6_000.0 * engine.token_time());
+    start(&mut engine, SECOND, 2, &prompt(&[], true));
+    assert_eq!(engine.queue_time(SECOND), 2 * wait);
     engine.first_event(1, wait);
     engine.first_event(2, 2 * wait);
-    assert_eq!(engine.wait(SECOND), 0);
+    assert_eq!(engine.queue_time(SECOND), 0);
 }
 
 #[test]
@@ -52,32 +52,32 @@
     let mut engine = Engine::new();
     for id in 0..100 {
         let now = SECOND * (id as u64 + 1);
-        start(&mut engine, now, id, &work(&[], true));
+        start(&mut engine, now, id, &prompt(&[], true));
         engine.first_event(id, 60 * MILLISECOND);
         engine.end(id, true);
     }
-    assert!((engine.read_time() - 10.0).abs() < 0.5, "{}", engine.read_time());
+    assert!((engine.token_time() - 10.0).abs() < 0.5, "{}", engine.token_time());
 }
 
 #[test]
 fn an_engine_whose_first_events_are_overdue_draws_nothing_more() {
     let (mut silent, other) = (Engine::new(), Engine::new());
-    start(&mut silent, SECOND, 1, &work(&SHARED, true));
-    let asked = work(&SHARED, true);
+    start(&mut silent, SECOND, 1, &prompt(&SHARED, true));
+    let asked = prompt(&SHARED, true);
     let cost =
-        |engine: &Engine, now| engine.cost(now, &asked, reading(engine, &asked, 5_000), true);
+        |engine: &Engine, now| engine.cost(now, &asked, prefill(engine, &asked, 5_000), true);
     assert!(cost(&silent, SECOND) < cost(&other, SECOND), "it keeps the prompt");
     assert!(cost(&silent, 5 * SECOND) > cost(&other, 5 * SECOND), "but says nothing");
     silent.first_event(1, 4 * SECOND);
-    assert_eq!(silent.wait(5 * SECOND), 0);
+    assert_eq!(silent.queue_time(5 * SECOND), 0);
 }
 
 #[test]
 fn an_engine_that_keeps_the_prompt_is_cheaper_even_when_busier() {
     let (mut keeper, other) = (Engine::new(), Engine::new());
-    start(&mut keeper, SECOND, 1, &work(&SHARED, true));
-    let asked = work(&SHARED, true);
-    let cost = |engine: &Engine| engine.cost(SECOND, &asked, reading(engine, &asked, 5_000), true);
+    start(&mut keeper, SECOND, 1, &prompt(&SHARED, true));
+    let asked = prompt(&SHARED, true);
+    let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 5_000), true);
     assert!(cost(&keeper) < cost(&other));
 }
 
@@ -85,11 +85,16 @@
 fn patient_prompts_stay_away_from_pressing_streams() {
     let (mut sensitive, free) = (Engine::new(), Engine::new());
     for id in 0..5 {
-        start(&mut sensitive, SECOND, id, &Work { parts: &[], prompt: 100, ..work(&[], false) });
+        start(
+            &mut sensitive,
+            SECOND,
+            id,
+            &Prompt { parts: &[], tokens: 100, ..prompt(&[], false) },
+        );
         sensitive.first_event(id, MILLISECOND);
     }
-    let asked = work(&[], true);
-    let cost = |engine: &Engine| engine.cost(SECOND, &asked, reading(engine, &asked, 0), true);
+    let asked = prompt(&[], true);
+    let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 0), true);
     assert!(cost(&free) < cost(&sensitive));
     for id in 0..5 {
         sensitive.end(id, false);
@@ -101,12 +106,12 @@
 fn a_prompt_that_is_read_soon_does_no_harm() {
     let (mut sensitive, free) = (Engine::new(), Engine::new());
     for id in 0..5 {
-        start(&mut sensitive, SECOND, id, &Work { prompt: 100, ..work(&[], false) });
+        start(&mut sensitive, SECOND, id, &Prompt { tokens: 100, ..prompt(&[], false) });
         sensitive.first_event(id, MILLISECOND);
     }
-    let more = |prompt| {
-        let asked = Work { prompt, ..work(&[], true) };
-        let cost = |engine: &Engine| engine.cost(SECOND, &asked, reading(engine, &asked, 0), true);
+    let more = |tokens| {
+        let asked = Prompt { tokens, ..prompt(&[], true) };
+        let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 0), true);
         cost(&sensitive) - cost(&free)
     };
     let beside = 5.0 * MILLISECOND as f64;
@@ -168,17 +173,17 @@
 #[test]
 fn what_began_before_a_change_of_dispatcher_is_not_waited_for() {
     let mut engine = Engine::new();
-    start(&mut engine, SECOND, 1, &work(&SHARED, true));
-    engine.begun(1);
-    assert_eq!(engine.wait(9 * SECOND), 0);
-    assert_eq!(engine.to_read(&work(&SHARED, true)), 1_000, "but what it read is kept");
+    start(&mut engine, SECOND, 1, &prompt(&SHARED, true));
+    engine.mark_prefilled(1);
+    assert_eq!(engine.queue_time(9 * SECOND), 0);
+    assert_eq!(engine.uncached_tokens(&prompt(&SHARED, true)), 1_000, "but what it read is kept");
 }
 
 #[test]
 fn the_shared_part_is_the_longest_before_the_own_one() {
-    assert_eq!(work(&SHARED, true).shared(), Some(SHARED[0]));
+    assert_eq!(prompt(&SHARED, true).shared(), Some(SHARED[0]));
     let three = [SHARED[0], SHARED[1], Part { id: 3, tokens: 9_000 }];
-    assert_eq!(work(&three, true).shared(), Some(SHARED[1]));
-    assert_eq!(work(&[], true).shared(), None);
-    assert_eq!(work(&SHARED[..1], true).shared(), None);
+    assert_eq!(prompt(&three, true).shared(), Some(SHARED[1]));
+    assert_eq!(prompt(&[], true).shared(), None);
+    assert_eq!(prompt(&SHARED[..1], true).shared(), None);
 }
--- a/crates/drumusher-schedule/tests/schedule/source.rs
+++ b/crates/drumusher-schedule/tests/schedule/source.rs
@@ -83,7 +83,7 @@
     bench.finish(1, Outcome::Cancelled);
     let servers: Vec<_> = bench.pool.servers().collect();
     let (_, server) = servers.iter().find(|(key, _)| *key == keeper).expect("it is there");
-    assert!(!server.engine().keeps(SHARED.id));
+    assert!(!server.engine().has_cached(SHARED.id));
 }
 
 /// Short parts are read again where they are placed: beginning to take them over takes as long.
