--- a/crates/drumusher-schedule/src/pool/admit.rs
+++ b/crates/drumusher-schedule/src/pool/admit.rs
@@ -1,6 +1,6 @@
-//! Taking asks in, and refusing those for which there is no room.
+//! Admission of requests, and refusal of those for which there is no capacity.
 
-use super::{Pool, place};
+use super::{Pool, position};
 use crate::{
     ask::{Ask, Key, State, Waiting},
     order::{Order, Refusal},
@@ -8,21 +8,22 @@
     time::{MILLISECOND, Micros, SECOND},
 };
 
-/// Bounds of what a refused caller is told to wait.
-const RETRY_LEAST: Micros = 200 * MILLISECOND;
-const RETRY_MOST: Micros = 120 * SECOND;
-/// Factor on the bound of the queue that holds even while a lower tier runs.
-const HARD_BOUND: usize = 2;
-/// While no backend server will be tried for longer than this, no new request waits for one.
-const OUTAGE: Micros = 2 * SECOND;
+/// Bounds of the time after which a refused caller is told to try again.
+const MIN_RETRY_AFTER: Micros = 200 * MILLISECOND;
+const MAX_RETRY_AFTER: Micros = 120 * SECOND;
+/// The queue may grow to this multiple of its limit while a lower tier runs.
+const HARD_LIMIT_FACTOR: usize = 2;
+/// While the next probe of any backend server is further away than this, no new request waits for
+/// it.
+const LONG_OUTAGE: Micros = 2 * SECOND;
 
 impl Pool {
     pub(super) fn admit(&mut self, now: Micros, ask: Ask, orders: &mut Vec<Order>) {
-        if self.ids.contains_key(&ask.id) {
+        if self.keys.contains_key(&ask.id) {
             return;
         }
         self.take_over(now, &ask);
-        if let Some(refusal) = self.turn_away(now, &ask) {
+        if let Some(refusal) = self.early_refusal(now, &ask) {
             let ahead = self.queue.len();
             orders.push(self.refusal(now, &ask, refusal, ahead));
             return;
@@ -33,23 +34,23 @@
             return;
         }
         if self.queue.len() > self.policy.queue {
-            self.shed_lowest(now, orders);
+            self.shed_lowest_tier(now, orders);
         }
-        self.shed_hopeless(now, tier, orders);
+        self.shed_excess_wait(now, tier, orders);
     }
 
     /// Refusals that do not depend on other workspaces.
-    fn turn_away(&mut self, now: Micros, ask: &Ask) -> Option<Refusal> {
+    fn early_refusal(&mut self, now: Micros, ask: &Ask) -> Option<Refusal> {
         let serving = self.servers().any(|(_, server)| !server.leaving());
-        if (!serving || self.is_hopeless(now, ask, 0)) && !self.settling(now) {
+        if (!serving || self.must_refuse_in_outage(now, ask, 0)) && !self.settling(now) {
             return Some(Refusal::NoServer);
         }
-        if self.rests_too_long(now, ask, 0) && !self.settling(now) {
+        if self.cooldown_exceeds_wait(now, ask, 0) && !self.settling(now) {
             return Some(Refusal::NoServer);
         }
-        let most = self.policy.workspace(ask.workspace).map_or(0, |w| w.queue);
+        let limit = self.policy.workspace(ask.workspace).map_or(0, |w| w.queue);
         let waiting = self.share.usage(ask.workspace).waiting;
-        (most > 0 && waiting >= most).then_some(Refusal::WorkspaceLimit)
+        (limit > 0 && waiting >= limit).then_some(Refusal::WorkspaceLimit)
     }
 
     fn enqueue(&mut self, now: Micros, ask: Ask) {
@@ -68,23 +69,23 @@
             grants_before: self.grants,
             ask,
         };
-        let place = place(&waiting);
-        let expires = self.expires(&waiting);
+        let position = position(&waiting);
+        let wait_deadline = self.wait_deadline(&waiting);
         let id = waiting.ask.id;
-        let key = Key(self.asks.insert(State::Waiting(waiting)) as u32);
-        self.ids.insert(id, key);
-        self.queue.insert(place, key);
-        self.expiry.insert((expires, key));
-        self.share.usage(place.workspace).waiting += 1;
-        self.share.activate(place.tier, place.workspace);
+        let key = Key(self.requests.insert(State::Waiting(waiting)) as u32);
+        self.keys.insert(id, key);
+        self.queue.insert(position, key);
+        self.wait_deadlines.insert((wait_deadline, key));
+        self.share.usage(position.workspace).waiting += 1;
+        self.share.activate(position.tier, position.workspace);
     }
 
-    /// Refuses one request of the lowest tier that has any beyond its reserved places. While a
-    /// still lower tier runs, which will make room, the queue may grow to a hard bound first.
-    fn shed_lowest(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    /// Refuses one request of the lowest tier that has any beyond its reserved queue slots. While a
+    /// still lower tier runs, which will free capacity, the queue may grow to a hard limit first.
+    fn shed_lowest_tier(&mut self, now: Micros, orders: &mut Vec<Order>) {
         let tiers: Vec<u8> = self.queue.tiers().collect();
         for tier in tiers.into_iter().rev() {
-            let hard = self.policy.queue * HARD_BOUND;
+            let hard = self.policy.queue * HARD_LIMIT_FACTOR;
             if self.lower_may_yield(tier) && self.queue.len() <= hard {
                 return;
             }
@@ -94,8 +95,9 @@
         }
     }
 
-    /// Refuses requests of a tier at once when its queue is longer than its class may wait.
-    fn shed_hopeless(&mut self, now: Micros, tier: u8, orders: &mut Vec<Order>) {
+    /// Refuses a request of a tier at once when the predicted wait is longer than its classes
+    /// allow.
+    fn shed_excess_wait(&mut self, now: Micros, tier: u8, orders: &mut Vec<Order>) {
         if self.free(now) > 0 || self.lower_may_yield(tier) {
             return;
         }
@@ -108,14 +110,14 @@
         }
     }
 
-    /// Whether a lower tier waits or runs outside its reserved places, so that it is the one to
-    /// make room.
+    /// Whether a lower tier waits or runs outside its reserved capacity, so that it should yield
+    /// first.
     pub fn lower_may_yield(&self, tier: u8) -> bool {
         let runs = self.running_tiers.range(tier + 1..).any(|(_, count)| *count > 0);
-        runs && !self.all_limited() || self.lower_waits(tier)
+        runs && !self.all_rate_limited() || self.lower_tier_waits(tier)
     }
 
-    fn lower_waits(&self, tier: u8) -> bool {
+    fn lower_tier_waits(&self, tier: u8) -> bool {
         self.queue.classes().any(|key| {
             let floor_queue = self.policy.class(key).floor_queue;
             let reserved = if self.policy.switches.floor { floor_queue } else { 0 };
@@ -123,8 +125,8 @@
         })
     }
 
-    /// Refuses the latest request of the workspace furthest over its share of the tier's queue. An answer that has begun
-    /// would be lost, so that none is refused to keep a queue short.
+    /// Refuses the latest request of the workspace furthest over its share of the tier's queue.
+    /// Requests whose answer has begun are exempt, since that answer would be lost.
     fn shed_from(
         &mut self,
         now: Micros,
@@ -132,7 +134,7 @@
         refusal: Refusal,
         orders: &mut Vec<Order>,
     ) -> bool {
-        let Some(key) = self.furthest_over(tier) else {
+        let Some(key) = self.furthest_over_share(tier) else {
             return false;
         };
         let ahead = self.queue.len_through_tier(tier);
@@ -143,7 +145,7 @@
         true
     }
 
-    fn furthest_over(&self, tier: u8) -> Option<Key> {
+    fn furthest_over_share(&self, tier: u8) -> Option<Key> {
         let over = |(workspace, waiting): (WorkspaceKey, usize)| {
             (waiting as f64 / self.policy.weight(workspace), workspace)
         };
@@ -152,19 +154,19 @@
         workspaces.sort_by(|a, b| b.0.total_cmp(&a.0));
         let mut candidates = workspaces.into_iter().find_map(|(_, workspace)| {
             let latest = self.queue.by_latest_deadline(tier, workspace);
-            let mut new = latest.filter(|key| !self.has_begun(*key)).peekable();
+            let mut new = latest.filter(|key| !self.has_output(*key)).peekable();
             new.peek().is_some().then_some(new)
         })?;
-        candidates.find(|key| !self.holds_reserved_place(*key))
+        candidates.find(|key| !self.holds_reserved_slot(*key))
     }
 
-    /// Whether the caller of a waiting request has a part of the answer.
-    fn has_begun(&self, key: Key) -> bool {
+    /// Whether the caller of a waiting request has received a part of the answer.
+    fn has_output(&self, key: Key) -> bool {
         self.waiting_at(key).is_some_and(|waiting| waiting.ask.produced > 0)
     }
 
-    /// Whether a waiting request's class has no more than its reserved places in use.
-    fn holds_reserved_place(&self, key: Key) -> bool {
+    /// Whether a waiting request's class uses no more than its reserved queue slots.
+    fn holds_reserved_slot(&self, key: Key) -> bool {
         let Some(waiting) = self.waiting_at(key) else {
             return true;
         };
@@ -173,33 +175,34 @@
         self.policy.switches.floor && self.queue.class_len(class) <= reserved
     }
 
-    /// How long no backend server will be tried, if that is too long to wait.
+    /// Time until the next probe of any backend server, if that is too long to wait.
     fn long_outage(&self, now: Micros) -> Option<Micros> {
         let left = self.outage()?.saturating_sub(now);
-        (left > OUTAGE).then_some(left)
+        (left > LONG_OUTAGE).then_some(left)
     }
 
-    /// Whether an ask is to be refused in a long outage. An answer that has begun would be lost, so
-    /// that it may wait as long as its class allows.
-    fn is_hopeless(&self, now: Micros, ask: &Ask, waited: Micros) -> bool {
+    /// Whether a request is to be refused in a long outage. An answer that has begun would be lost,
+    /// so such a request may wait as long as its class allows.
+    fn must_refuse_in_outage(&self, now: Micros, ask: &Ask, waited: Micros) -> bool {
         let Some(left) = self.long_outage(now) else {
             return false;
         };
         ask.produced == 0 || waited + left > self.policy.class(ask.class).wait
     }
 
-    /// Refuses at once what is not to wait for the end of a long outage.
-    pub(super) fn give_up(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    /// Refuses the requests that must not wait for the end of a long outage.
+    pub(super) fn refuse_in_outage(&mut self, now: Micros, orders: &mut Vec<Order>) {
         if self.settling(now) || self.long_outage(now).is_none() {
             return;
         }
-        let hopeless = |key: &Key| {
+        let refused = |key: &Key| {
             let waiting = self.waiting_at(*key)?;
             let waited = now.saturating_sub(waiting.since);
-            self.is_hopeless(now, &waiting.ask, waited).then_some(*key)
+            self.must_refuse_in_outage(now, &waiting.ask, waited).then_some(*key)
         };
-        let hopeless: Vec<Key> = self.expiry.iter().filter_map(|(_, key)| hopeless(key)).collect();
-        for key in hopeless {
+        let refused: Vec<Key> =
+            self.wait_deadlines.iter().filter_map(|(_, key)| refused(key)).collect();
+        for key in refused {
             if let Some(waiting) = self.remove_waiting(key) {
                 orders.push(self.refusal(now, &waiting.ask, Refusal::NoServer, 0));
             }
@@ -207,12 +210,13 @@
     }
 
     /// Refuses the requests that waited as long as their class allows, unless a lower tier could
-    /// still make room, or their answer has begun.
-    pub(super) fn expire(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    /// still yield or their answer has begun.
+    pub(super) fn refuse_expired(&mut self, now: Micros, orders: &mut Vec<Order>) {
         if self.settling(now) || !self.policy.switches.shedding {
             return;
         }
-        let due: Vec<Key> = self.expiry.range(..(now, Key(0))).map(|(_, key)| *key).collect();
+        let due: Vec<Key> =
+            self.wait_deadlines.range(..(now, Key(0))).map(|(_, key)| *key).collect();
         for key in due {
             let Some(waiting) = self.waiting_at(key) else {
                 continue;
@@ -228,13 +232,13 @@
     }
 
     pub(super) fn refusal(&self, now: Micros, ask: &Ask, refusal: Refusal, ahead: usize) -> Order {
-        let known = self.long_outage(now).or_else(|| self.rest_left(now, ask.entry));
+        let known = self.long_outage(now).or_else(|| self.cooldown_left(now, ask.entry));
         let wait = known.unwrap_or_else(|| self.predicted_wait(ahead + 1));
         Order::Refuse {
             id: ask.id,
             entry: ask.entry,
             refusal,
-            retry_after: wait.clamp(RETRY_LEAST, RETRY_MOST),
+            retry_after: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 }
--- a/crates/drumusher-schedule/src/pool/health.rs
+++ b/crates/drumusher-schedule/src/pool/health.rs
@@ -1,4 +1,4 @@
-//! Finding backend servers that are slow or fail, by comparing each with the others of the pool.
+//! Detection of slow and failing backend servers by comparison with the others of the pool.
 
 use super::Pool;
 use crate::{
@@ -9,18 +9,20 @@
     time::Micros,
 };
 
-/// A mean pause up to this part of the target of pressing streams is not slow, whatever others need.
+/// A mean gap up to this fraction of the target of delay-sensitive streams is never slow.
 const SENSITIVE_GAP_FRACTION: f64 = 0.5;
-/// The same for patient streams: the long prompts beside them make pauses differ between engines
-/// that are equally fast. With half of the target, engines were taken for slow and good again several
-/// times a second while a burst of long prompts lasted, and the others had to read theirs too.
+/// The same for delay-tolerant streams: the long prompts beside them make gaps differ between
+/// engines that are equally fast. With half of the target, engines became slow and healthy again
+/// several times a second during a burst of long prompts, and the others had to prefill their
+/// prompts too.
 const TOLERANT_GAP_FRACTION: f64 = 1.0;
 
 impl Pool {
     /// Finds backend servers much slower than the pool's median and moves their repeatable attempts
-    /// elsewhere, as far as there is room. Patient and pressing streams are compared apart: long
-    /// prompts beside them make the pauses of patient ones longer, and their classes bear that.
-    pub(super) fn judge(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    /// elsewhere, as far as there are free slots. Delay-tolerant and delay-sensitive streams are
+    /// compared separately: long prompts lengthen the gaps of delay-tolerant ones, and their
+    /// classes allow that.
+    pub(super) fn relieve_slow(&mut self, now: Micros, orders: &mut Vec<Order>) {
         if !self.policy.switches.slow {
             return;
         }
@@ -28,18 +30,18 @@
             let baseline = self.baseline(now, sensitivity);
             let Some(baseline) = baseline else { continue };
             let servers = self.servers.iter_mut().enumerate();
-            let judged = servers.filter_map(|(at, server)| {
+            let updated = servers.filter_map(|(at, server)| {
                 Some((at, server.as_mut()?.check_slow(now, sensitivity, baseline)))
             });
-            let slow: Vec<usize> = judged.filter(|(_, slow)| *slow).map(|(at, _)| at).collect();
+            let slow: Vec<usize> = updated.filter(|(_, slow)| *slow).map(|(at, _)| at).collect();
             for at in slow {
-                self.move_off(now, at, orders);
+                self.preempt_movable(now, at, orders);
             }
         }
     }
 
-    /// What is usual between the tokens of streams of a kind; `None` if fewer than two backend
-    /// servers had some lately.
+    /// Baseline of the token gaps of streams of one sensitivity; `None` if fewer than two backend
+    /// servers have recent samples.
     fn baseline(&self, now: Micros, sensitivity: Sensitivity) -> Option<Baseline> {
         let known = self.servers().filter_map(|(_, server)| server.recent_gap(now, sensitivity));
         let gaps: Vec<f64> = known.collect();
@@ -58,26 +60,27 @@
         Some(Baseline { median, acceptable: target as f64 * fraction })
     }
 
-    /// Orders the repeatable attempts on a backend server stopped, as many as have room elsewhere.
-    fn move_off(&mut self, now: Micros, server: usize, orders: &mut Vec<Order>) {
-        let room = self.free(now) as usize;
+    /// Preempts the repeatable attempts on a backend server, as many as there are free slots
+    /// elsewhere.
+    fn preempt_movable(&mut self, now: Micros, server: usize, orders: &mut Vec<Order>) {
+        let free = self.free(now) as usize;
         let movable = |(key, state): (usize, &State)| match state {
             State::Running(r) if usize::from(r.server.0) == server => {
-                let moves = r.ask.repeatable && !r.stopping;
-                moves.then_some((r.tier, Key(key as u32)))
+                let is_movable = r.ask.repeatable && !r.stopping;
+                is_movable.then_some((r.tier, Key(key as u32)))
             }
             _ => None,
         };
-        let mut attempts: Vec<(u8, Key)> = self.asks.iter().filter_map(movable).collect();
+        let mut attempts: Vec<(u8, Key)> = self.requests.iter().filter_map(movable).collect();
         attempts.sort();
-        for (_, key) in attempts.into_iter().take(room) {
-            self.stop(key, Preemption::SlowServer, orders);
+        for (_, key) in attempts.into_iter().take(free) {
+            self.order_preemption(key, Preemption::SlowServer, orders);
         }
     }
 
-    /// Takes backend servers that fail far more of their requests than the others for outliers, as
-    /// far as the pool can do without them.
-    pub(super) fn compare(&mut self, now: Micros) {
+    /// Marks backend servers that fail a much larger share of their requests than the others as
+    /// outliers, as far as the pool can spare them.
+    pub(super) fn update_outliers(&mut self, now: Micros) {
         if !self.policy.switches.outliers {
             return;
         }
--- a/crates/drumusher-schedule/src/pool/preempt.rs
+++ b/crates/drumusher-schedule/src/pool/preempt.rs
@@ -1,4 +1,4 @@
-//! Stopping attempts of a lower tier for a higher one, and forgetting those that nobody reports on.
+//! Preemption of lower tiers for a higher one, and removal of attempts without reports.
 
 use super::Pool;
 use crate::{
@@ -8,38 +8,39 @@
     time::Micros,
 };
 
-/// Waiting requests of a class that are looked at, oldest first.
-const LOOK: usize = 32;
-/// Most attempts stopped by one event.
-const STOPS: usize = 8;
+/// Maximum waiting requests of a class that are checked, oldest first.
+const MAX_CHECKED: usize = 32;
+/// Maximum attempts preempted by one event.
+const MAX_PREEMPTIONS: usize = 8;
 
 impl Pool {
-    /// Orders attempts of lower tiers stopped while a request of a higher one would miss its
-    /// target.
+    /// Preempts attempts of lower tiers while a request of a higher one would miss its target.
     pub(super) fn preempt(&mut self, now: Micros, orders: &mut Vec<Order>) {
         if !self.policy.switches.preemption || self.settling(now) || self.queue.is_empty() {
             return;
         }
-        if !self.victims.values().any(|victims| !victims.is_empty()) || self.all_limited() {
+        if !self.preemptible.values().any(|attempts| !attempts.is_empty())
+            || self.all_rate_limited()
+        {
             return;
         }
         let Some(tier) = self.queue.tiers().next() else {
             return;
         };
-        let needed = self.at_risk(now, tier).saturating_sub(self.stopping);
-        for _ in 0..needed.min(STOPS) {
-            let Some(key) = self.victim_below(tier) else {
+        let needed = self.at_risk(now, tier).saturating_sub(self.preempting);
+        for _ in 0..needed.min(MAX_PREEMPTIONS) {
+            let Some(key) = self.cheapest_below(tier) else {
                 return;
             };
-            self.stop(key, Preemption::HigherTier, orders);
+            self.order_preemption(key, Preemption::HigherTier, orders);
         }
     }
 
-    /// How many waiting requests of a tier will not get their first token in time, places being
-    /// freed at the measured rate.
+    /// Number of waiting requests of a tier that will not get their first token in time if slots
+    /// are freed at the measured rate.
     fn at_risk(&self, now: Micros, tier: u8) -> usize {
         let of_tier = self.queue.classes().filter(|class| self.policy.tier(*class) == tier);
-        let waiting = of_tier.flat_map(|class| self.queue.by_arrival(class).take(LOOK));
+        let waiting = of_tier.flat_map(|class| self.queue.by_arrival(class).take(MAX_CHECKED));
         let at_risk = waiting.enumerate().filter(|(ahead, key)| {
             let wait = self.predicted_wait(ahead + 1);
             let waiting = self.waiting_at(*key);
@@ -51,9 +52,10 @@
         at_risk.count()
     }
 
-    /// Orders attempts of lower tiers stopped where granted requests of a higher one wait in the backend
-    /// server's own queue, which preempts nothing. A window may be wider than what it runs at once.
-    pub(super) fn relieve_queued(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    /// Preempts attempts of lower tiers where granted requests of a higher one wait in the backend
+    /// server's own queue, which preempts nothing itself. That happens because a window may be
+    /// wider than what the backend server runs at once.
+    pub(super) fn preempt_for_server_queues(&mut self, now: Micros, orders: &mut Vec<Order>) {
         if !self.policy.switches.preemption || self.settling(now) {
             return;
         }
@@ -64,22 +66,23 @@
         };
         let queued: Vec<_> = self.servers().filter_map(queued).collect();
         for (server, waiting, as_of) in queued {
-            let victims = self.victims_for_queued(now, server, waiting, as_of);
-            if victims.is_empty() {
+            let attempts = self.attempts_to_preempt(now, server, waiting, as_of);
+            if attempts.is_empty() {
                 continue;
             }
-            if let Some(server) = self.server(server) {
+            if let Some(server) = self.server_mut(server) {
                 server.note_queue_preemption(now);
             }
-            for key in victims {
-                self.stop(key, Preemption::HigherTier, orders);
+            for key in attempts {
+                self.order_preemption(key, Preemption::HigherTier, orders);
             }
         }
     }
 
-    /// The attempts to stop for those of the highest tier that were granted before the report of
-    /// `as_of`, have no token and would miss their target: the latest of the lowest tier first.
-    fn victims_for_queued(
+    /// The attempts to preempt for those of the highest tier that were granted before the report of
+    /// `as_of`, have no token and would miss their target. The latest grants of the lowest tier
+    /// come first.
+    fn attempts_to_preempt(
         &self,
         now: Micros,
         server: server::Key,
@@ -99,57 +102,63 @@
             return Vec::new();
         };
         let needed = late.iter().filter(|other| **other == tier).count().min(waiting);
-        let lower = self.victims.range(tier + 1..).rev();
-        let latest = lower.flat_map(|(_, victims)| victims.iter().rev()).map(|(_, key)| *key);
-        let holds_place = |key: &Key| match self.asks.get(key.0 as usize) {
+        let lower = self.preemptible.range(tier + 1..).rev();
+        let latest = lower.flat_map(|(_, attempts)| attempts.iter().rev()).map(|(_, key)| *key);
+        let holds_slot = |key: &Key| match self.requests.get(key.0 as usize) {
             Some(State::Running(running)) => running.server == server && running.has_first_token,
             _ => false,
         };
-        latest.filter(holds_place).take(needed).collect()
+        latest.filter(holds_slot).take(needed).collect()
     }
 
-    /// The attempt with least work lost: of the lowest tier below `tier`, the latest granted. The end of one on a backend
-    /// server that is limited makes no room.
-    fn victim_below(&self, tier: u8) -> Option<Key> {
-        let lower = self.victims.range(tier + 1..).rev();
-        let latest = lower.flat_map(|(_, victims)| victims.iter().rev());
-        latest.map(|(_, key)| *key).find(|key| self.makes_room(*key))
+    /// The attempt below `tier` with the least work to lose: the latest grant of the lowest tier.
+    /// Attempts on a rate-limited backend server are excluded, since their end frees no capacity.
+    fn cheapest_below(&self, tier: u8) -> Option<Key> {
+        let lower = self.preemptible.range(tier + 1..).rev();
+        let latest = lower.flat_map(|(_, attempts)| attempts.iter().rev());
+        latest.map(|(_, key)| *key).find(|key| self.frees_capacity(*key))
     }
 
-    fn makes_room(&self, key: Key) -> bool {
-        let Some(State::Running(running)) = self.asks.get(key.0 as usize) else {
+    fn frees_capacity(&self, key: Key) -> bool {
+        let Some(State::Running(running)) = self.requests.get(key.0 as usize) else {
             return false;
         };
         self.server_at(running.server).is_some_and(|server| server.rate_limit().is_none())
     }
 
-    /// Orders one attempt stopped.
-    pub(super) fn stop(&mut self, key: Key, preemption: Preemption, orders: &mut Vec<Order>) {
-        let Some(State::Running(running)) = self.asks.get_mut(key.0 as usize) else {
+    /// Orders the preemption of one attempt.
+    pub(super) fn order_preemption(
+        &mut self,
+        key: Key,
+        preemption: Preemption,
+        orders: &mut Vec<Order>,
+    ) {
+        let Some(State::Running(running)) = self.requests.get_mut(key.0 as usize) else {
             return;
         };
         running.stopping = true;
         orders.push(Order::Preempt { id: running.ask.id, entry: running.ask.entry, preemption });
         let (tier, granted) = (running.tier, running.granted);
-        if let Some(victims) = self.victims.get_mut(&tier) {
-            victims.remove(&(granted, key));
+        if let Some(attempts) = self.preemptible.get_mut(&tier) {
+            attempts.remove(&(granted, key));
         }
-        self.stopping += 1;
+        self.preempting += 1;
     }
 
-    /// Forgets attempts whose entry does not report on them any more.
-    pub(super) fn release_silent(&mut self, now: Micros) {
+    /// Drops attempts on which their entry instance no longer reports.
+    pub(super) fn drop_unreported(&mut self, now: Micros) {
         let expiry = self.policy.grant_expiry * 2;
-        let silent = |state: &State| match state {
+        let unreported = |state: &State| match state {
             State::Running(r) => {
-                let most = if r.started { super::SILENCE } else { expiry };
-                (now > r.last_report + most).then_some(r.ask.id)
+                let timeout = if r.started { super::REPORT_TIMEOUT } else { expiry };
+                (now > r.last_report + timeout).then_some(r.ask.id)
             }
             State::Waiting(_) => None,
         };
-        let gone: Vec<Id> = self.asks.iter().filter_map(|(_, state)| silent(state)).collect();
+        let gone: Vec<Id> =
+            self.requests.iter().filter_map(|(_, state)| unreported(state)).collect();
         for id in gone {
-            self.forget(now, id);
+            self.drop_request(now, id);
         }
     }
 }
--- a/crates/drumusher-schedule/src/pool/scope.rs
+++ b/crates/drumusher-schedule/src/pool/scope.rs
@@ -1,19 +1,19 @@
-//! Which backend servers come into question for a grant.
+//! Which backend servers are eligible for a grant.
 
 use crate::{server::Server, time::Micros};
 
-/// Which backend servers come into question.
+/// Which backend servers are eligible for a grant.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Scope {
-    /// Those with a free place.
+    /// Those with a free slot.
     Free,
-    /// Those to be tried out.
+    /// Those with a probe due.
     Probe,
 }
 
 impl Scope {
-    /// Whether a backend server comes into question.
-    pub(super) fn has(self, server: &Server, now: Micros) -> bool {
+    /// Whether a backend server is eligible.
+    pub(super) fn includes(self, server: &Server, now: Micros) -> bool {
         match self {
             Scope::Free => server.free(now) > 0,
             Scope::Probe => server.may_probe(now),
--- a/crates/drumusher-schedule/src/pool/sensitivity.rs
+++ b/crates/drumusher-schedule/src/pool/sensitivity.rs
@@ -45,7 +45,7 @@
             return false;
         };
         let prompt = self.demand.get(&key).map_or(0.0, |demand| demand.prompt);
-        let delay = prompt * self.usual_read.unwrap_or(DEFAULT_TOKEN_TIME);
+        let delay = prompt * self.typical_token_time.unwrap_or(DEFAULT_TOKEN_TIME);
         self.policy.class(key).token_gap > tightest
             && delay > tightest as f64 * INTERFERENCE_THRESHOLD
     }
@@ -75,9 +75,9 @@
     }
 
     /// Updates the median of the engines' shortest times to prefill a token.
-    pub(super) fn look_at_reading(&mut self) {
+    pub(super) fn update_token_time(&mut self) {
         let seen: Vec<f64> =
             self.servers().filter_map(|(_, server)| server.engine().fastest_token_time()).collect();
-        self.usual_read = (!seen.is_empty()).then(|| outlier::median(seen.into_iter()));
+        self.typical_token_time = (!seen.is_empty()).then(|| outlier::median(seen.into_iter()));
     }
 }
--- a/crates/drumusher-schedule/src/pool/track.rs
+++ b/crates/drumusher-schedule/src/pool/track.rs
@@ -1,4 +1,4 @@
-//! Following the attempts that run.
+//! Tracking of running attempts.
 
 use super::Pool;
 use crate::{
@@ -10,9 +10,9 @@
 };
 
 impl Pool {
-    /// Takes over a grant that an earlier dispatcher gave.
-    pub(super) fn declare(&mut self, now: Micros, ask: Ask, server: server::Key) {
-        if self.ids.contains_key(&ask.id) {
+    /// Restores a running grant that an earlier dispatcher gave.
+    pub(super) fn restore(&mut self, now: Micros, ask: Ask, server: server::Key) {
+        if self.keys.contains_key(&ask.id) {
             return;
         }
         self.take_over(now, &ask);
@@ -26,38 +26,38 @@
         };
         let id = waiting.ask.id;
         let prefill = self.local_prefill(&waiting.ask, server);
-        self.run(now, waiting, server, prefill, false);
-        if let Some(server) = self.server(server) {
+        self.start_running(now, waiting, server, prefill, false);
+        if let Some(server) = self.server_mut(server) {
             server.backdate_grant();
         }
-        let Some((_, running)) = self.running_of(id) else {
+        let Some((_, running)) = self.running_mut(id) else {
             return;
         };
         running.started = true;
         running.has_first_token = running.produced > 0;
         if running.produced > 0
-            && let Some(server) = self.server(server)
+            && let Some(server) = self.server_mut(server)
         {
             server.engine_mut().mark_prefilled(id);
         }
     }
 
-    /// How an engine comes by a prompt of which nothing is taken over.
+    /// How an engine obtains a prompt without transferring any of it.
     fn local_prefill(&mut self, ask: &Ask, server: server::Key) -> Prefill {
         let prompt =
             Prompt { parts: &ask.parts, tokens: ask.prompt, tolerant: false, tightest_gap: 0 };
-        self.server(server)
+        self.server_mut(server)
             .map_or_else(Prefill::default, |server| server.engine().prefill(&prompt, 0, 0))
     }
 
     pub(super) fn withdraw(&mut self, id: Id) {
-        if let Some(key) = self.ids.get(&id).copied() {
+        if let Some(key) = self.keys.get(&id).copied() {
             self.remove_waiting(key);
         }
     }
 
     pub(super) fn progress(&mut self, now: Micros, progress: Progress) {
-        let Some((_, running)) = self.running_of(progress.id) else {
+        let Some((_, running)) = self.running_mut(progress.id) else {
             return;
         };
         running.last_report = now;
@@ -80,7 +80,7 @@
         }
         let target = policy.tightest_gap();
         let sensitivity = self.sensitivity(now, class);
-        if let Some(server) = self.server(server) {
+        if let Some(server) = self.server_mut(server) {
             if let Some(first) = progress.first_token {
                 server.engine_mut().first_event(progress.id, first);
             }
@@ -89,13 +89,13 @@
     }
 
     pub(super) fn finish(&mut self, now: Micros, id: Id, outcome: Outcome, produced: u32) {
-        let Some((key, _)) = self.running_of(id) else {
+        let Some((key, _)) = self.running_mut(id) else {
             return;
         };
-        let State::Running(running) = self.asks.remove(key.0 as usize) else {
+        let State::Running(running) = self.requests.remove(key.0 as usize) else {
             return;
         };
-        self.ids.remove(&id);
+        self.keys.remove(&id);
         let ask = &running.ask;
         let policy = self.policy.clone();
         let produced = produced.max(running.produced);
@@ -108,21 +108,21 @@
             self.lengths.record(ask.class, ask.workspace, produced);
         }
         let tolerant = running.tolerant;
-        if let Some(server) = self.server(running.server) {
+        if let Some(server) = self.server_mut(running.server) {
             server.end(now, running.granted, outcome);
             server.engine_mut().end(id, tolerant);
         }
-        if let Some(victims) = self.victims.get_mut(&running.tier) {
-            victims.remove(&(running.granted, key));
+        if let Some(attempts) = self.preemptible.get_mut(&running.tier) {
+            attempts.remove(&(running.granted, key));
         }
         if running.stopping {
-            self.stopping -= 1;
+            self.preempting -= 1;
         }
         if !running.reserved {
             *self.running_tiers.entry(running.tier).or_default() -= 1;
         }
         if outcome == Outcome::Done {
-            self.note_held(now.saturating_sub(running.granted));
+            self.record_hold_time(now.saturating_sub(running.granted));
         }
     }
 }
