--- a/crates/drumusher-schedule/tests/schedule/engine.rs
+++ b/crates/drumusher-schedule/tests/schedule/engine.rs
@@ -1,4 +1,5 @@
-//! What is believed of engines, and the border between patient and pressing requests.
+//! The model of an engine, and the partition of engines between delay-tolerant and delay-sensitive
+//! requests.
 
 use drumusher_schedule::{
     ask::{Id, Part},
@@ -18,13 +19,13 @@
     engine.prefill(prompt, cached_elsewhere, 0)
 }
 
-/// Places a request of which nothing is taken over from another engine.
+/// Places a request without any transfer from another engine.
 fn start(engine: &mut Engine, now: Micros, id: Id, prompt: &Prompt<'_>) {
     engine.start(now, id, prompt, engine.prefill(prompt, 0, 0));
 }
 
 #[test]
-fn only_the_parts_before_the_first_missing_one_are_kept() {
+fn only_parts_before_the_first_uncached_one_count_as_cached() {
     let mut engine = Engine::new();
     let whole = prompt(&SHARED, true);
     assert_eq!(engine.uncached_tokens(&whole), 6_000);
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn the_wait_is_that_of_the_prompts_before() {
+fn queue_time_covers_all_pending_prompts() {
     let mut engine = Engine::new();
     start(&mut engine, SECOND, 1, &prompt(&[], true));
     let wait = engine.queue_time(SECOND);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn the_time_to_read_a_token_is_learned_from_prompts_that_did_not_queue() {
+fn token_time_is_learned_from_prompts_that_did_not_queue() {
     let mut engine = Engine::new();
     for id in 0..100 {
         let now = SECOND * (id as u64 + 1);
@@ -60,29 +61,29 @@
 }
 
 #[test]
-fn an_engine_whose_first_events_are_overdue_draws_nothing_more() {
+fn an_engine_with_overdue_first_events_attracts_no_more_requests() {
     let (mut silent, other) = (Engine::new(), Engine::new());
     start(&mut silent, SECOND, 1, &prompt(&SHARED, true));
     let asked = prompt(&SHARED, true);
     let cost =
         |engine: &Engine, now| engine.cost(now, &asked, prefill(engine, &asked, 5_000), true);
-    assert!(cost(&silent, SECOND) < cost(&other, SECOND), "it keeps the prompt");
-    assert!(cost(&silent, 5 * SECOND) > cost(&other, 5 * SECOND), "but says nothing");
+    assert!(cost(&silent, SECOND) < cost(&other, SECOND), "it has the prompt cached");
+    assert!(cost(&silent, 5 * SECOND) > cost(&other, 5 * SECOND), "but its first event is overdue");
     silent.first_event(1, 4 * SECOND);
     assert_eq!(silent.queue_time(5 * SECOND), 0);
 }
 
 #[test]
-fn an_engine_that_keeps_the_prompt_is_cheaper_even_when_busier() {
-    let (mut keeper, other) = (Engine::new(), Engine::new());
-    start(&mut keeper, SECOND, 1, &prompt(&SHARED, true));
+fn an_engine_with_the_prompt_cached_costs_less_even_when_busier() {
+    let (mut cache_holder, other) = (Engine::new(), Engine::new());
+    start(&mut cache_holder, SECOND, 1, &prompt(&SHARED, true));
     let asked = prompt(&SHARED, true);
     let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 5_000), true);
-    assert!(cost(&keeper) < cost(&other));
+    assert!(cost(&cache_holder) < cost(&other));
 }
 
 #[test]
-fn patient_prompts_stay_away_from_pressing_streams() {
+fn delay_tolerant_prompts_avoid_delay_sensitive_streams() {
     let (mut sensitive, free) = (Engine::new(), Engine::new());
     for id in 0..5 {
         start(
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_read_soon_does_no_harm() {
+fn a_prompt_that_is_prefilled_soon_does_not_interfere() {
     let (mut sensitive, free) = (Engine::new(), Engine::new());
     for id in 0..5 {
         start(&mut sensitive, SECOND, id, &Prompt { tokens: 100, ..prompt(&[], false) });
@@ -120,9 +121,9 @@
 }
 
 #[test]
-fn the_border_follows_the_demand() {
+fn the_partition_follows_the_demand() {
     let mut partition = Partition::new();
-    assert_eq!(partition.tolerant_engines(SECOND, 1), 0, "one engine has no sides");
+    assert_eq!(partition.tolerant_engines(SECOND, 1), 0, "one engine is not partitioned");
     for _ in 0..100 {
         partition.record(SECOND, true, 1_000.0);
         partition.record(SECOND, false, 1_000.0);
@@ -132,35 +133,39 @@
     for _ in 0..1_000 {
         partition.record(SECOND, true, 1_000.0);
     }
-    assert_eq!(partition.tolerant_engines(SECOND, 10), 8, "the prior still holds it back a little");
+    assert_eq!(partition.tolerant_engines(SECOND, 10), 8, "the prior demand still has some effect");
     for _ in 0..9_000 {
         partition.record(SECOND, true, 1_000.0);
     }
     assert_eq!(
         partition.tolerant_engines(SECOND, 10),
         9,
-        "one engine is always left for the others"
+        "one engine is always left for delay-sensitive requests"
     );
     for _ in 0..100 {
         partition.record(20 * SECOND, false, 1_000.0);
     }
-    assert_eq!(partition.tolerant_engines(20 * SECOND, 10), 4, "little demand moves it a little");
+    assert_eq!(
+        partition.tolerant_engines(20 * SECOND, 10),
+        4,
+        "little demand moves the boundary a little"
+    );
     for _ in 0..9_900 {
         partition.record(20 * SECOND, false, 1_000.0);
     }
-    assert_eq!(partition.tolerant_engines(20 * SECOND, 10), 1, "old demand is forgotten");
+    assert_eq!(partition.tolerant_engines(20 * SECOND, 10), 1, "old demand has decayed");
 }
 
 proptest! {
-    /// Both sides always have an engine, and a small change of the demand does not move the border.
+    /// Both partitions always have an engine, and the same demand yields the same partition.
     #[test]
-    fn both_sides_have_an_engine(
+    fn both_partitions_have_an_engine(
         all in 2_usize..200,
-        notes in proptest::collection::vec((any::<bool>(), 1.0_f64..1e6, 0_u64..SECOND), 1..60),
+        samples in proptest::collection::vec((any::<bool>(), 1.0_f64..1e6, 0_u64..SECOND), 1..60),
     ) {
         let mut partition = Partition::new();
         let mut now = SECOND;
-        for (tolerant, time, pause) in notes {
+        for (tolerant, time, pause) in samples {
             now += pause;
             partition.record(now, tolerant, time);
             let engines = partition.tolerant_engines(now, all);
@@ -171,16 +176,16 @@
 }
 
 #[test]
-fn what_began_before_a_change_of_dispatcher_is_not_waited_for() {
+fn a_prompt_prefilled_before_a_change_of_dispatcher_adds_no_queue_time() {
     let mut engine = Engine::new();
     start(&mut engine, SECOND, 1, &prompt(&SHARED, true));
     engine.mark_prefilled(1);
     assert_eq!(engine.queue_time(9 * SECOND), 0);
-    assert_eq!(engine.uncached_tokens(&prompt(&SHARED, true)), 1_000, "but what it read is kept");
+    assert_eq!(engine.uncached_tokens(&prompt(&SHARED, true)), 1_000, "but the prompt is cached");
 }
 
 #[test]
-fn the_shared_part_is_the_longest_before_the_own_one() {
+fn the_shared_part_is_the_longest_before_the_last_one() {
     assert_eq!(prompt(&SHARED, true).shared(), Some(SHARED[0]));
     let three = [SHARED[0], SHARED[1], Part { id: 3, tokens: 9_000 }];
     assert_eq!(prompt(&three, true).shared(), Some(SHARED[1]));
--- a/crates/drumusher-schedule/tests/schedule/main.rs
+++ b/crates/drumusher-schedule/tests/schedule/main.rs
@@ -1,16 +1,16 @@
-//! Tests of the decisions.
+//! Tests of the scheduling decisions.
 
+mod cooldown;
 mod engine;
 mod invariants;
-mod limits;
+mod load;
 mod many_classes;
 mod outage;
 mod outlier;
+mod partition;
 mod pool;
 mod rank;
-mod reports;
-mod rests;
+mod rate_limit;
 mod retry;
-mod sides;
-mod source;
 mod support;
+mod transfer;
--- a/crates/drumusher-schedule/tests/schedule/rank.rs
+++ b/crates/drumusher-schedule/tests/schedule/rank.rs
@@ -1,4 +1,4 @@
-//! Which instance dispatches a pool.
+//! Ranking of the instances that may dispatch a pool.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 const INSTANCES: [&str; 5] = ["suva-1", "suva-2", "suva-3", "suva-4", "suva-5"];
 
 #[test]
-fn the_first_is_the_head_of_the_order() {
+fn first_is_the_head_of_order() {
     for pool in 0..100 {
         let pool = format!("model:{pool}");
         assert_eq!(first(&pool, INSTANCES), order(&pool, INSTANCES).first().copied());
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn only_the_pools_of_an_instance_that_left_move() {
+fn only_roles_of_a_removed_instance_move() {
     for pool in 0..200 {
         let pool = format!("model:{pool}");
         let before = first(&pool, INSTANCES);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn pools_are_spread_evenly() {
+fn roles_are_spread_evenly() {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for pool in 0..1_000 {
         let pool = format!("model:{pool}");
@@ -35,7 +35,8 @@
     assert!(counts.values().all(|count| (140..=260).contains(count)), "{counts:?}");
 }
 
-/// Instances with more processor time have most of the roles, and hand them on to each other first.
+/// Instances with more processor time have most of the roles, and their roles fail over to each
+/// other first.
 #[test]
 fn roles_go_to_instances_with_more_processor_time() {
     let capacity = |name: &str| if name.starts_with("large") { 500 } else { 120 };
@@ -55,7 +56,7 @@
     assert!((880..=960).contains(&large), "{large} of 1,000 roles are on large instances");
 }
 
-/// An instance of which nothing is known is one among equals.
+/// An instance of unknown capacity ranks like one of one core.
 #[test]
 fn an_unknown_capacity_is_one_core() {
     let named = INSTANCES.map(|name| Candidate { name, capacity: 1_000 });
--- a/crates/drumusher-schedule/tests/schedule/support.rs
+++ b/crates/drumusher-schedule/tests/schedule/support.rs
@@ -1,4 +1,4 @@
-//! A pool under test, with a clock set by hand.
+//! Test harness: a pool with a manual clock.
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 /// The lowest of three classes.
 pub const BULK: u16 = 2;
 
-/// A pool and its time.
-pub struct Bench {
+/// A pool under test and its time.
+pub struct Harness {
     /// The pool.
     pub pool: Pool,
-    /// The time.
+    /// Current time.
     pub now: Micros,
 }
 
@@ -34,7 +34,7 @@
     policy
 }
 
-/// An ask of workspace 0.
+/// A request of workspace 0.
 pub fn ask(id: Id, class: u16, arrived: Micros) -> Ask {
     Ask {
         id,
@@ -55,54 +55,54 @@
     }
 }
 
-/// An ask of another workspace.
-pub fn ask_of(workspace: u16, id: Id, class: u16, arrived: Micros) -> Ask {
+/// A request of another workspace.
+pub fn ask_in_workspace(workspace: u16, id: Id, class: u16, arrived: Micros) -> Ask {
     Ask { workspace: WorkspaceKey(workspace), ..ask(id, class, arrived) }
 }
 
-impl Bench {
-    /// A pool with backend servers of `slots` places each.
+impl Harness {
+    /// A pool with backend servers of `slots` slots each.
     pub fn new(policy: Policy, servers: u16, slots: u32) -> Self {
         let now = 100 * SECOND;
-        let mut bench = Bench { pool: Pool::new(Arc::new(policy), now), now };
+        let mut harness = Harness { pool: Pool::new(Arc::new(policy), now), now };
         for key in 0..servers {
             let options =
                 server::Options { slots, first_slots: slots, ..server::Options::default() };
-            bench.tell(Event::Server(server::Key(key), options));
+            harness.handle(Event::Server(server::Key(key), options));
         }
-        bench
+        harness
     }
 
-    /// Tells the pool something and returns its orders.
-    pub fn tell(&mut self, event: Event) -> Vec<Order> {
+    /// Passes an event to the pool and returns its orders.
+    pub fn handle(&mut self, event: Event) -> Vec<Order> {
         let mut orders = Vec::new();
         self.pool.handle(self.now, event, &mut orders);
         orders
     }
 
-    /// Asks.
+    /// Submits a request.
     pub fn ask(&mut self, ask: Ask) -> Vec<Order> {
-        self.tell(Event::Ask(ask))
+        self.handle(Event::Ask(ask))
     }
 
     /// Ends an attempt.
     pub fn finish(&mut self, id: Id, outcome: Outcome) -> Vec<Order> {
-        self.tell(Event::Finish(id, outcome, 8))
+        self.handle(Event::Finish(id, outcome, 8))
     }
 
-    /// Reports on an attempt.
+    /// Reports progress of an attempt.
     pub fn progress(&mut self, id: Id, produced: u32, gap: Micros) -> Vec<Order> {
         let first_token = (produced == 1).then_some(20 * MILLISECOND);
-        self.tell(Event::Progress(Progress { id, produced, first_token, gap }))
+        self.handle(Event::Progress(Progress { id, produced, first_token, gap }))
     }
 
-    /// Lets time pass in ticks.
-    pub fn pass(&mut self, time: Micros) -> Vec<Order> {
+    /// Advances the time in ticks.
+    pub fn advance(&mut self, time: Micros) -> Vec<Order> {
         let until = self.now + time;
         let mut orders = Vec::new();
         while self.now < until {
             self.now += 50 * MILLISECOND;
-            orders.extend(self.tell(Event::Tick));
+            orders.extend(self.handle(Event::Tick));
         }
         orders
     }
@@ -126,11 +126,11 @@
     refusals.collect()
 }
 
-/// The requests ordered to stop.
-pub fn stopped(orders: &[Order]) -> Vec<Id> {
-    let stops = orders.iter().filter_map(|order| match order {
+/// The requests preempted by some orders.
+pub fn preempted(orders: &[Order]) -> Vec<Id> {
+    let preemptions = orders.iter().filter_map(|order| match order {
         Order::Preempt { id, .. } => Some(*id),
         _ => None,
     });
-    stops.collect()
+    preemptions.collect()
 }
