--- a/crates/drumusher-schedule/tests/schedule/engine.rs
+++ b/crates/drumusher-schedule/tests/schedule/engine.rs
@@ -64,9 +64,10 @@
 fn an_engine_with_overdue_first_events_attracts_no_more_requests() {
     let (mut silent, other) = (Engine::new(), Engine::new());
     start(&mut silent, SECOND, 1, &prompt(&SHARED, true));
-    let asked = prompt(&SHARED, true);
-    let cost =
-        |engine: &Engine, now| engine.cost(now, &asked, prefill(engine, &asked, 5_000), true);
+    let candidate = prompt(&SHARED, true);
+    let cost = |engine: &Engine, now| {
+        engine.cost(now, &candidate, prefill(engine, &candidate, 5_000), true)
+    };
     assert!(cost(&silent, SECOND) < cost(&other, SECOND), "it has the prompt cached");
     assert!(cost(&silent, 5 * SECOND) > cost(&other, 5 * SECOND), "but its first event is overdue");
     silent.first_event(1, 4 * SECOND);
@@ -77,8 +78,9 @@
 fn an_engine_with_the_prompt_cached_costs_less_even_when_busier() {
     let (mut cache_holder, other) = (Engine::new(), Engine::new());
     start(&mut cache_holder, SECOND, 1, &prompt(&SHARED, true));
-    let asked = prompt(&SHARED, true);
-    let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 5_000), true);
+    let candidate = prompt(&SHARED, true);
+    let cost =
+        |engine: &Engine| engine.cost(SECOND, &candidate, prefill(engine, &candidate, 5_000), true);
     assert!(cost(&cache_holder) < cost(&other));
 }
 
@@ -94,8 +96,9 @@
         );
         sensitive.first_event(id, MILLISECOND);
     }
-    let asked = prompt(&[], true);
-    let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 0), true);
+    let candidate = prompt(&[], true);
+    let cost =
+        |engine: &Engine| engine.cost(SECOND, &candidate, prefill(engine, &candidate, 0), true);
     assert!(cost(&free) < cost(&sensitive));
     for id in 0..5 {
         sensitive.end(id, false);
@@ -110,14 +113,15 @@
         start(&mut sensitive, SECOND, id, &Prompt { tokens: 100, ..prompt(&[], false) });
         sensitive.first_event(id, MILLISECOND);
     }
-    let more = |tokens| {
-        let asked = Prompt { tokens, ..prompt(&[], true) };
-        let cost = |engine: &Engine| engine.cost(SECOND, &asked, prefill(engine, &asked, 0), true);
+    let extra_cost = |tokens| {
+        let candidate = Prompt { tokens, ..prompt(&[], true) };
+        let cost =
+            |engine: &Engine| engine.cost(SECOND, &candidate, prefill(engine, &candidate, 0), true);
         cost(&sensitive) - cost(&free)
     };
-    let beside = 5.0 * MILLISECOND as f64;
-    assert!((more(2_500) - beside).abs() < 1.0, "50 of 100 ms");
-    assert!(more(3_500) > beside + 5.0 * 70.0 * MILLISECOND as f64, "70 of 100 ms");
+    let stream_cost = 5.0 * MILLISECOND as f64;
+    assert!((extra_cost(2_500) - stream_cost).abs() < 1.0, "50 of 100 ms");
+    assert!(extra_cost(3_500) > stream_cost + 5.0 * 70.0 * MILLISECOND as f64, "70 of 100 ms");
 }
 
 #[test]
--- a/crates/drumusher-schedule/tests/schedule/invariants.rs
+++ b/crates/drumusher-schedule/tests/schedule/invariants.rs
@@ -88,13 +88,13 @@
         (count > 0).then(|| *self.running.keys().nth(nth % count).expect("below the count"))
     }
 
-    fn apply(&mut self, orders: &[Order], harness: &Harness, asks: &BTreeMap<Id, Ask>) {
+    fn apply(&mut self, orders: &[Order], harness: &Harness, requests: &BTreeMap<Id, Ask>) {
         for order in orders {
             match *order {
                 Order::Grant { id, server, .. } => {
                     assert!(self.waiting.remove(&id), "{id} was granted and did not wait");
                     assert!(!self.left.contains(&server), "{server:?} had left");
-                    let ask = &asks[&id];
+                    let ask = &requests[&id];
                     let cooldown = self.cooldowns.get(&(ask.entry, server));
                     assert!(
                         cooldown.is_none_or(|until| harness.now >= *until),
@@ -105,7 +105,7 @@
                 }
                 Order::Refuse { id, refusal, .. } => {
                     assert!(self.waiting.remove(&id), "{id} was refused and did not wait");
-                    let tier = asks[&id].class.0 as u8;
+                    let tier = requests[&id].class.0 as u8;
                     let own = matches!(refusal, Refusal::WorkspaceLimit | Refusal::NoServer);
                     // Beyond twice its limit the queue does not grow, whatever runs.
                     let hard =
@@ -188,14 +188,14 @@
         let mut policy = policy();
         policy.queue = MAX_QUEUE;
         let mut harness = Harness::new(policy, 3, 3);
-        let (mut model, mut asks) = (Model::default(), BTreeMap::new());
+        let (mut model, mut requests) = (Model::default(), BTreeMap::new());
         for (at, step) in steps.iter().enumerate() {
             let id = at as Id + 1;
             if let Step::Pass { time } = step {
                 for _ in 0..time / 50 {
                     harness.now += 50 * MILLISECOND;
                     let orders = harness.handle(Event::Tick);
-                    model.apply(&orders, &harness, &asks);
+                    model.apply(&orders, &harness, &requests);
                 }
                 let known: BTreeSet<Id> = harness.pool.iter_running().map(|r| r.ask.id).collect();
                 model.running.retain(|id, _| known.contains(id));
@@ -204,7 +204,7 @@
             let Some(event) = event(step, id, &harness, &model) else { continue };
             match &event {
                 Event::Ask(ask) => {
-                    asks.insert(id, ask.clone());
+                    requests.insert(id, ask.clone());
                     model.waiting.insert(id);
                 }
                 Event::Finish(id, ..) => drop(model.running.remove(id)),
@@ -219,7 +219,7 @@
                 }
                 Event::Leave(key) => drop(model.left.insert(*key)),
                 Event::EntryGone(entry) => {
-                    let of_entry = |id: &Id| asks[id].entry == *entry;
+                    let of_entry = |id: &Id| requests[id].entry == *entry;
                     model.cooldowns.retain(|(of, _), _| of != entry);
                     model.waiting.retain(|id| !of_entry(id));
                     model.running.retain(|id, _| !of_entry(id));
@@ -227,7 +227,7 @@
                 _ => {}
             }
             let orders = harness.handle(event);
-            model.apply(&orders, &harness, &asks);
+            model.apply(&orders, &harness, &requests);
             prop_assert_eq!(harness.pool.waiting(), model.waiting.len());
             prop_assert_eq!(harness.pool.running(), model.running.len());
             for (key, server) in harness.pool.servers() {
--- a/crates/drumusher-schedule/tests/schedule/outlier.rs
+++ b/crates/drumusher-schedule/tests/schedule/outlier.rs
@@ -73,13 +73,13 @@
     fn at_most_a_third_of_the_backend_servers_are_outliers(
         servers in 1..7_u16,
         fails in proptest::collection::vec(0..10_u32, 7),
-        luck in proptest::collection::vec(0..10_u32, 200),
+        rolls in proptest::collection::vec(0..10_u32, 200),
     ) {
         let mut harness = Harness::new(policy(), servers, 8);
-        for (id, luck) in luck.iter().enumerate() {
+        for (id, roll) in rolls.iter().enumerate() {
             let fails = fails.clone();
             send(&mut harness, id as u128 * 10, 1, move |_, server| {
-                if *luck < fails[usize::from(server)] { Outcome::ErrorResponse } else { Outcome::Done }
+                if *roll < fails[usize::from(server)] { Outcome::ErrorResponse } else { Outcome::Done }
             });
             let erring = (0..servers).filter(|s| matches!(health(&harness, *s), Health::Erring(_)));
             prop_assert!(erring.count() <= usize::from(servers) / 3);
