--- a/crates/drumusher/tests/routes/answers.rs
+++ b/crates/drumusher/tests/routes/backend_faults.rs
@@ -6,10 +6,10 @@
 use drumusher_bench::fleet::wait_for;
 use rstest::rstest;
 
-use crate::support::{Call, Deployment, read};
+use crate::support::{Deployment, Request, read_response};
 
 /// Sets a fault at both backend servers of the plain service.
-fn set_desks(deployment: &Deployment, fault: Fault) {
+fn set_desk_fault(deployment: &Deployment, fault: Fault) {
     deployment.server("d1").set(fault);
     deployment.server("d2").set(fault);
 }
@@ -30,22 +30,26 @@
 #[case(Fault::Extra, 200, 1)]
 #[case(Fault::Crossed, 200, 1)]
 #[case(Fault::Slow, 200, 1)]
-fn a_booking_runs_at_most_once(#[case] fault: Fault, #[case] status: u16, #[case] runs: usize) {
+fn non_idempotent_request_runs_at_most_once(
+    #[case] fault: Fault,
+    #[case] status: u16,
+    #[case] runs: usize,
+) {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, fault);
-    let call = Call::post("/book/", "a booking");
-    let answer = deployment.call(0, &call).expect("an answer");
-    assert_eq!(answer.status, status, "{}", answer.text());
-    assert_eq!(deployment.runs(&call.id), runs);
-    assert!(answer.whole);
+    set_desk_fault(&deployment, fault);
+    let request = Request::post("/book/", "a booking");
+    let response = deployment.send(0, &request).expect("an answer");
+    assert_eq!(response.status, status, "{}", response.text());
+    assert_eq!(deployment.runs(&request.id), runs);
+    assert!(response.complete);
     if status == 200 {
-        assert_eq!(answer.text(), body(&call.id));
+        assert_eq!(response.text(), body(&request.id));
     }
     if status == 503 {
-        assert!(answer.header("retry-after").is_some(), "tells when to come back");
+        assert!(response.header("retry-after").is_some(), "tells when to come back");
     }
     if status > 500 {
-        assert_eq!(answer.header("drumusher-response-seal"), None, "no one's signature");
+        assert_eq!(response.header("drumusher-response-seal"), None, "no one's signature");
     }
 }
 
@@ -60,25 +64,25 @@
 #[case(Fault::Unsigned)]
 #[case(Fault::UnframedReset)]
 #[case(Fault::Hang)]
-fn a_repeatable_request_goes_elsewhere(#[case] fault: Fault) {
+fn idempotent_request_is_retried_on_another_server(#[case] fault: Fault) {
     let deployment = Deployment::new(1);
     deployment.server("d1").set(fault);
     for _ in 0..6 {
-        let call = Call::get("/read/");
-        let answer = deployment.call(0, &call).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
+        let request = Request::get("/read/");
+        let response = deployment.send(0, &request).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
 /// Both backend servers fail with an answer of their own: it is delivered as it is.
 #[test]
-fn a_failure_is_delivered_with_its_signature() {
+fn backend_error_is_forwarded_with_its_seal() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Fails);
-    let call = Call::get("/read/");
-    let answer = deployment.call(0, &call).expect("an answer");
-    assert_eq!((answer.status, answer.text().as_str()), (500, "failed"));
-    assert_eq!(answer.header("drumusher-response-seal"), Some(&*format!("seal-{}", call.id)));
+    set_desk_fault(&deployment, Fault::Fails);
+    let request = Request::get("/read/");
+    let response = deployment.send(0, &request).expect("an answer");
+    assert_eq!((response.status, response.text().as_str()), (500, "failed"));
+    assert_eq!(response.header("drumusher-response-seal"), Some(&*format!("seal-{}", request.id)));
 }
 
 /// Bytes after a whole answer, and answers to earlier requests, never reach another request on the
@@ -86,20 +90,20 @@
 #[rstest]
 #[case(Fault::Extra)]
 #[case(Fault::Crossed)]
-fn surplus_bytes_belong_to_nobody(#[case] fault: Fault) {
+fn surplus_response_bytes_never_reach_another_request(#[case] fault: Fault) {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, fault);
+    set_desk_fault(&deployment, fault);
     for _ in 0..20 {
-        let call = Call::post("/book/", "x");
-        let answer = deployment.call(0, &call).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
-        assert_eq!(deployment.runs(&call.id), 1);
+        let request = Request::post("/book/", "x");
+        let response = deployment.send(0, &request).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, body(&request.id)));
+        assert_eq!(deployment.runs(&request.id), 1);
     }
 }
 
 /// A backend server that cannot be connected to costs no request.
 #[test]
-fn a_server_that_is_gone_costs_no_booking() {
+fn unreachable_server_fails_no_request() {
     let deployment = Deployment::new(1);
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = nobody.local_addr().expect("its address");
@@ -108,33 +112,33 @@
     let own = deployment.server("d1").address.to_string();
     deployment.store.put("keyed.servers", "d0", &entry.replace(&own, &address.to_string()));
     for _ in 0..12 {
-        let call = Call::post("/book/", "x");
-        let answer = deployment.call(0, &call).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
+        let request = Request::post("/book/", "x");
+        let response = deployment.send(0, &request).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
 /// Many requests on one kept connection of a caller, and connections to backend servers that are
 /// kept: far fewer connections than requests.
 #[test]
-fn connections_are_kept() {
+fn caller_connection_is_reused() {
     let deployment = Deployment::new(1);
     let mut conn = deployment.connect(0).expect("a connection");
     for _ in 0..30 {
-        let call = Call::get("/read/");
-        conn.write_all(&call.bytes()).expect("sent");
-        let answer = read(&mut conn).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
+        let request = Request::get("/read/");
+        conn.write_all(&request.bytes()).expect("sent");
+        let response = read_response(&mut conn).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
 /// A caller that goes away frees the backend server at once.
 #[test]
-fn a_caller_that_is_gone_stops_the_work() {
+fn caller_disconnect_closes_the_backend_connection() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Hang);
-    let call = Call::post("/book/", "x");
-    leave_while_it_runs(&deployment, &call);
+    set_desk_fault(&deployment, Fault::Hang);
+    let request = Request::post("/book/", "x");
+    disconnect_while_running(&deployment, &request);
     wait_for("the server sees the close", || {
         deployment.server("d1").client_disconnects() + deployment.server("d2").client_disconnects()
             == 1
@@ -144,53 +148,53 @@
 /// The deadline that a caller names is kept: the final answer comes although the backend server
 /// says nothing, and says that the request may have run.
 #[test]
-fn a_final_answer_comes_at_the_deadline() {
+fn request_is_answered_at_its_deadline() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Hang);
-    let call = Call::post("/book/", "x").with("Drumusher-Deadline-Ms", "400");
-    let answer = deployment.call(0, &call).expect("an answer");
-    assert_eq!(answer.status, 504);
-    assert!(answer.text().contains("\"ran\":\"unknown\""), "{}", answer.text());
+    set_desk_fault(&deployment, Fault::Hang);
+    let request = Request::post("/book/", "x").with("Drumusher-Deadline-Ms", "400");
+    let response = deployment.send(0, &request).expect("an answer");
+    assert_eq!(response.status, 504);
+    assert!(response.text().contains("\"ran\":\"unknown\""), "{}", response.text());
 }
 
 /// A caller that leaves before there is an answer has its line in the log.
 #[test]
-fn a_caller_that_leaves_is_told() {
+fn caller_disconnect_is_logged() {
     let deployment = Deployment::new(1);
-    set_desks(&deployment, Fault::Hang);
-    let call = Call::post("/book/", "x");
-    leave_while_it_runs(&deployment, &call);
+    set_desk_fault(&deployment, Fault::Hang);
+    let request = Request::post("/book/", "x");
+    disconnect_while_running(&deployment, &request);
     wait_for("its line is written", || {
-        let lines = deployment.instances[0].lines();
-        lines.lines().any(|line| line.contains("caller gone") && line.contains(&call.id))
+        let lines = deployment.instances[0].log();
+        lines.lines().any(|line| line.contains("caller gone") && line.contains(&request.id))
     });
 }
 
 /// What is believed of a backend server that fails, and that it is well again, is told with what led to
 /// it.
 #[test]
-fn the_health_of_a_server_is_told() {
+fn server_health_changes_are_logged() {
     let deployment = Deployment::new(1);
-    let told = |word: &str| {
+    let logged = |word: &str| {
         let line = format!("backend server is {word}");
-        let lines = deployment.instances[0].lines();
+        let lines = deployment.instances[0].log();
         lines.lines().any(|l| l.contains(&line) && l.contains("d1") && l.contains("failing"))
     };
     deployment.server("d1").set(Fault::Reset);
     wait_for("it is told to be down", || {
-        let _ = deployment.call(0, &Call::get("/read/"));
-        told("down")
+        let _ = deployment.send(0, &Request::get("/read/"));
+        logged("down")
     });
     deployment.server("d1").set(Fault::None);
     wait_for("it is told to be good", || {
-        let _ = deployment.call(0, &Call::get("/read/"));
-        told("good")
+        let _ = deployment.send(0, &Request::get("/read/"));
+        logged("good")
     });
 }
 
 /// Sends a request and closes its connection once a backend server runs it.
-fn leave_while_it_runs(deployment: &Deployment, call: &Call) {
+fn disconnect_while_running(deployment: &Deployment, request: &Request) {
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&call.bytes()).expect("sent");
-    wait_for("it runs", || deployment.runs(&call.id) == 1);
+    conn.write_all(&request.bytes()).expect("sent");
+    wait_for("it runs", || deployment.runs(&request.id) == 1);
 }
--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -7,14 +7,14 @@
 use drumusher_bench::fleet::wait_for;
 use rstest::rstest;
 
-use crate::support::{Call, Deployment, configuration};
+use crate::support::{Deployment, Request, configuration};
 
 /// The length of the lease, in milliseconds.
 const LEASE_MS: u64 = 1_500;
 /// The length of a window of usage, in milliseconds.
 pub const WINDOW_MS: u64 = 500;
 /// Two spells of one instance are so far apart, with another's between them.
-pub const APART: Duration = Duration::from_millis(LEASE_MS);
+pub const MIN_TENURE_GAP: Duration = Duration::from_millis(LEASE_MS);
 
 /// The settings of the duties.
 pub fn settings(duties: &Duties) -> String {
@@ -27,7 +27,7 @@
 }
 
 /// A configuration under which servers of the model may be ordered.
-pub fn scalable(version: u64, extra: &str) -> String {
+pub fn scaling_configuration(version: u64, extra: &str) -> String {
     let scaling = r#""Engine":{"Slots":8},"Scaling":{"Min":1,"Max":8,"BootTimeS":0.5,"SpotPrice":0.25,"ZonePrices":{"z":1.0}}"#;
     configuration(version, extra).replace(r#""Engine":{"Slots":8}"#, scaling)
 }
@@ -36,27 +36,27 @@
 pub fn deploy(instances: usize) -> (Deployment, Duties) {
     let duties = Duties::start().expect("the platform starts");
     let mut deployment = Deployment::unconfigured(0);
-    deployment.store.put("keyed.op", "config", &scalable(1, ""));
+    deployment.store.put("keyed.op", "config", &scaling_configuration(1, ""));
     for number in 0..instances {
-        let door = deployment.store.endpoint().expect("a way to the store");
-        deployment.add_instance_with(&format!("i{number}"), door, &settings(&duties));
+        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        deployment.add_instance_with(&format!("i{number}"), store_endpoint, &settings(&duties));
     }
     deployment.wait_serving();
     (deployment, duties)
 }
 
 /// Sends so many requests of either kind to an instance.
-pub fn send(deployment: &Deployment, instance: usize, count: usize) {
+pub fn send_requests(deployment: &Deployment, instance: usize, count: usize) {
     for _ in 0..count {
         for path in ["/read/", "/talk/"] {
-            let answer = deployment.call(instance, &Call::get(path)).expect("an answer");
-            assert_eq!(answer.status, 200);
+            let response = deployment.send(instance, &Request::get(path)).expect("an answer");
+            assert_eq!(response.status, 200);
         }
     }
 }
 
 /// All requests that the backend servers ran.
-fn ran(deployment: &Deployment) -> u64 {
+fn requests_run(deployment: &Deployment) -> u64 {
     deployment.servers.iter().map(|server| server.runs().len() as u64).sum()
 }
 
@@ -65,13 +65,13 @@
     Some(duties.calls().last()?.holder.clone())
 }
 
-pub fn wait_all_reported(deployment: &Deployment, duties: &Duties) {
-    let mut told = (0, 0);
+pub fn wait_usage_reported(deployment: &Deployment, duties: &Duties) {
+    let mut last = (0, 0);
     wait_for("all requests that ran are reported", || {
-        let now = (duties.usage().get("vanua").copied().unwrap_or(0), ran(deployment));
-        if now != told {
+        let now = (duties.usage().get("vanua").copied().unwrap_or(0), requests_run(deployment));
+        if now != last {
             println!("{} reported, {} ran", now.0, now.1);
-            told = now;
+            last = now;
         }
         now.0 == now.1
     });
@@ -79,48 +79,48 @@
 
 /// Each request that ran is in the report of one window, whichever instance took it.
 #[test]
-fn usage_is_reported_whole() {
+fn usage_reports_include_every_request() {
     let (deployment, duties) = deploy(3);
     for instance in 0..3 {
-        send(&deployment, instance, 5);
+        send_requests(&deployment, instance, 5);
     }
-    wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.violation(APART, &[]), None);
+    wait_usage_reported(&deployment, &duties);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
 /// The holder is killed: another goes on where it was, with a higher token, and what was told before counts.
 #[test]
-fn another_goes_on_when_the_holder_is_killed() {
+fn duties_move_when_the_holder_is_killed() {
     let (mut deployment, duties) = deploy(3);
-    send(&deployment, 0, 3);
-    wait_all_reported(&deployment, &duties);
+    send_requests(&deployment, 0, 3);
+    wait_usage_reported(&deployment, &duties);
     let first = holder(&duties).expect("one has the duties");
     let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
     deployment.instances[at].signal("KILL");
     wait_for("it is gone", || deployment.instances[at].ended().is_some());
     let other = (at + 1) % 3;
-    send(&deployment, other, 3);
+    send_requests(&deployment, other, 3);
     wait_for("another has the duties", || holder(&duties).is_some_and(|now| now != first));
-    wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.violation(APART, &[]), None);
+    wait_usage_reported(&deployment, &duties);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
 /// One that is paused and goes on no longer has the duties, and does not act as if it had.
 #[test]
-fn one_that_was_paused_has_stopped() {
+fn paused_holder_loses_its_duties() {
     let (mut deployment, duties) = deploy(3);
-    send(&deployment, 0, 3);
-    wait_all_reported(&deployment, &duties);
+    send_requests(&deployment, 0, 3);
+    wait_usage_reported(&deployment, &duties);
     let first = holder(&duties).expect("one has the duties");
     let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
     deployment.instances[at].signal("STOP");
     let other = (at + 1) % 3;
-    send(&deployment, other, 3);
+    send_requests(&deployment, other, 3);
     wait_for("another has the duties", || holder(&duties).is_some_and(|now| now != first));
     deployment.instances[at].signal("CONT");
-    send(&deployment, at, 3);
-    wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.violation(APART, &[]), None);
+    send_requests(&deployment, at, 3);
+    wait_usage_reported(&deployment, &duties);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
     let stopped = &mut deployment.instances[at];
     stopped.signal("TERM");
     wait_for("it stops as any other", || stopped.ended().is_some());
@@ -128,19 +128,19 @@
 
 /// A planned stop hands the duties on.
 #[test]
-fn a_stop_hands_the_duties_on() {
+fn duties_move_on_a_planned_stop() {
     let (mut deployment, duties) = deploy(3);
-    send(&deployment, 0, 3);
-    wait_all_reported(&deployment, &duties);
+    send_requests(&deployment, 0, 3);
+    wait_usage_reported(&deployment, &duties);
     let first = holder(&duties).expect("one has the duties");
     let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
     deployment.instances[at].signal("TERM");
     wait_for("it stops", || deployment.instances[at].ended().is_some());
-    send(&deployment, (at + 1) % 3, 3);
-    wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.violation(APART, &[]), None);
-    let told = deployment.instances[at].lines();
-    assert!(told.contains("this instance no longer has the duties"), "{told}");
+    send_requests(&deployment, (at + 1) % 3, 3);
+    wait_usage_reported(&deployment, &duties);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
+    let log = deployment.instances[at].log();
+    assert!(log.contains("this instance no longer has the duties"), "{log}");
 }
 
 /// However the platform fails, each window is reported with one content, and all come when it is back.
@@ -148,17 +148,17 @@
 #[case(Outage::Unavailable)]
 #[case(Outage::Reset)]
 #[case(Outage::Unresponsive)]
-fn reports_wait_for_the_platform(#[case] away: Outage) {
+fn usage_is_reported_after_a_platform_outage(#[case] away: Outage) {
     let (deployment, duties) = deploy(2);
     duties.set_outage(away);
-    send(&deployment, 0, 4);
-    let reports = || duties.calls().iter().filter(|call| call.path == "/usage").count();
+    send_requests(&deployment, 0, 4);
+    let reports = || duties.calls().iter().filter(|duty_call| duty_call.path == "/usage").count();
     let before = reports();
     wait_for("it is tried again", || reports() >= before + 2);
-    send(&deployment, 1, 4);
+    send_requests(&deployment, 1, 4);
     duties.set_outage(Outage::None);
-    wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.violation(APART, &[]), None);
+    wait_usage_reported(&deployment, &duties);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
 /// While the store is away nobody can prove that it has the duties, or tell what it counted; when it is back all is
@@ -166,34 +166,35 @@
 #[rstest]
 #[case(Outage::Unavailable)]
 #[case(Outage::Unresponsive)]
-fn all_is_reported_when_the_store_is_back(#[case] away: Outage) {
+fn usage_is_reported_after_a_store_outage(#[case] away: Outage) {
     let (deployment, duties) = deploy(2);
-    send(&deployment, 0, 2);
-    wait_all_reported(&deployment, &duties);
-    let set_away = |away| deployment.instances.iter().for_each(|i| i.door.set_outage(away));
+    send_requests(&deployment, 0, 2);
+    wait_usage_reported(&deployment, &duties);
+    let set_away =
+        |away| deployment.instances.iter().for_each(|i| i.store_endpoint.set_outage(away));
     set_away(away);
-    send(&deployment, 0, 4);
-    let told = || {
-        let lines = deployment.instances.iter().map(|instance| instance.lines());
+    send_requests(&deployment, 0, 4);
+    let renewal_failed = || {
+        let lines = deployment.instances.iter().map(|instance| instance.log());
         lines.filter(|lines| lines.contains("was not renewed for sure")).count() > 0
     };
-    wait_for("the lease is not renewed", told);
+    wait_for("the lease is not renewed", renewal_failed);
     set_away(Outage::None);
-    send(&deployment, 1, 2);
-    wait_all_reported(&deployment, &duties);
-    assert_eq!(duties.violation(APART, &[]), None);
+    send_requests(&deployment, 1, 2);
+    wait_usage_reported(&deployment, &duties);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
 /// Cheaper servers are ordered in place of those that there were, within the bounds of the configuration.
 #[test]
-fn servers_are_ordered_within_bounds() {
+fn scaling_orders_stay_within_bounds() {
     let (deployment, duties) = deploy(2);
-    send(&deployment, 0, 2);
-    let orders = || duties.calls().into_iter().filter(|call| call.path == "/scaling");
-    wait_for("servers are ordered", || orders().any(|call| call.body["Spot"] == true));
+    send_requests(&deployment, 0, 2);
+    let orders = || duties.calls().into_iter().filter(|duty_call| duty_call.path == "/scaling");
+    wait_for("servers are ordered", || orders().any(|duty_call| duty_call.body["Spot"] == true));
     for order in orders() {
         let count = order.body["DesiredCount"].as_u64().expect("a count");
         assert!((0..=8).contains(&count) && order.body["Zone"] == "z", "{order:?}");
     }
-    assert_eq!(duties.violation(APART, &[]), None);
+    assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
--- a/crates/drumusher/tests/routes/main.rs
+++ b/crates/drumusher/tests/routes/main.rs
@@ -1,18 +1,18 @@
 //! Tests of requests along routes, on separate processes: instances and, on threads of the test,
 //! stand-ins of the users' platform.
 
-mod answers;
+mod backend_faults;
 mod config;
-mod doubt;
 mod duties;
-mod entries;
+mod forwarding;
 mod membership;
 mod notices;
-mod path;
+mod planned_stop;
 mod quarantine;
 mod restore;
+mod server_entries;
 mod soak;
-mod stop;
 mod streams;
 mod support;
 mod transfer;
+mod uncertain_removals;
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -7,46 +7,46 @@
 use drumusher_schedule::rank::{self, Candidate, DEFAULT_CAPACITY};
 use rstest::rstest;
 
-use crate::support::{Call, DESK, Deployment, configuration, read};
+use crate::support::{DESK, Deployment, Request, configuration, read_response};
 
 /// An instance that is turned away from the store learns changes from the others, whichever it is
 /// and however it is turned away.
 #[rstest]
-fn changes_are_passed_on_between_instances(
+fn changes_reach_an_instance_without_the_store(
     #[values(0, 1, 2)] turned_away: usize,
     #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
     let deployment = Deployment::new(3);
-    wait_for("they know each other", || known(&deployment, 3));
-    let door = &deployment.instances[turned_away].door;
-    door.set_outage(away);
+    wait_for("they know each other", || all_registered(&deployment, 3));
+    let store_endpoint = &deployment.instances[turned_away].store_endpoint;
+    store_endpoint.set_outage(away);
     wait_for("no call of before is under way", || {
-        let reads =
-            last_of(&deployment.instances[turned_away].lines(), "reads the store for others");
-        let none_of_before = !door.failed_waits().is_empty() && door.under_way() == 0;
-        !reads.contains("\"reads\":\"true\"") || none_of_before
+        let reads = last_of(&deployment.instances[turned_away].log(), "reads the store for others");
+        let no_older_call =
+            !store_endpoint.failed_waits().is_empty() && store_endpoint.under_way() == 0;
+        !reads.contains("\"reads\":\"true\"") || no_older_call
     });
     deployment.store.put("keyed.op", "config", &configuration(9, "extra"));
     for at in 0..3 {
         wait_for("the change is in force there", || {
-            let answer = deployment.call(at, &Call::get("/extra/"));
-            answer.is_ok_and(|answer| answer.status == 200)
+            let response = deployment.send(at, &Request::get("/extra/"));
+            response.is_ok_and(|response| response.status == 200)
         });
     }
 }
 
 /// Whichever instance is frozen or killed, the others serve every request meanwhile.
 #[test]
-fn requests_are_served_beside_a_silent_instance() {
+fn requests_are_served_while_another_instance_is_down() {
     let mut deployment = Deployment::new(3);
-    wait_for("they know each other", || known(&deployment, 3));
+    wait_for("they know each other", || all_registered(&deployment, 3));
     for frozen in 0..3 {
         deployment.instances[frozen].signal("STOP");
         for at in (0..3).filter(|at| *at != frozen) {
             for _ in 0..4 {
-                let call = Call::post("/book/", "x");
-                let answer = deployment.call(at, &call).expect("an answer");
-                assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
+                let request = Request::post("/book/", "x");
+                let response = deployment.send(at, &request).expect("an answer");
+                assert_eq!((response.status, response.text()), (200, body(&request.id)));
             }
         }
         deployment.instances[frozen].signal("CONT");
@@ -54,14 +54,14 @@
     deployment.instances[0].signal("KILL");
     wait_for("it is gone", || deployment.instances[0].ended().is_some());
     for at in 1..3 {
-        let call = Call::post("/book/", "x");
-        let answer = deployment.call(at, &call).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
+        let request = Request::post("/book/", "x");
+        let response = deployment.send(at, &request).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
 /// Whether so many instances are entered in the store.
-fn known(deployment: &Deployment, count: usize) -> bool {
+fn all_registered(deployment: &Deployment, count: usize) -> bool {
     let entered =
         |at: &usize| deployment.store.newest("keyed.instances", &format!("i{at}")).is_some();
     (0..count).filter(entered).count() == count
@@ -70,7 +70,7 @@
 /// The same without any request, whose connections would carry the changes too: all but one of
 /// those that read the store are turned away at once, and the one that is left tells them.
 #[rstest]
-fn those_that_read_the_store_tell_each_other(
+fn remaining_reader_propagates_changes(
     #[values(0, 3)] left: usize,
     #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
@@ -80,30 +80,30 @@
         wait_for("it is ready", || instance.ready());
     }
     // Four may read before all six are listed, and others later: those four by rank are to be awaited.
-    let expected = four_by_rank();
+    let expected = expected_readers();
     wait_for("four instances read the store", || readers(&deployment) == expected);
     let readers = expected;
     // Only who has seen the store for as long as lapsed entries may be missing can tell others that an end is none.
     wait_for("the one that is left confirms what it read", || {
-        deployment.instances[readers[left]].metric(&["entries_confirmed"]) >= SERVERS
+        deployment.instances[readers[left]].metric(&["entries_confirmed"]) >= SERVER_RECORDS
     });
     for at in readers.iter().filter(|at| **at != readers[left]) {
-        deployment.instances[*at].door.set_outage(away);
+        deployment.instances[*at].store_endpoint.set_outage(away);
     }
     for at in readers.iter().filter(|at| **at != readers[left]) {
-        let door = &deployment.instances[*at].door;
+        let store_endpoint = &deployment.instances[*at].store_endpoint;
         wait_for("no call of before is under way", || {
-            !door.failed_waits().is_empty() && door.under_way() == 0
+            !store_endpoint.failed_waits().is_empty() && store_endpoint.under_way() == 0
         });
     }
     deployment.store.put("keyed.op", "config", &configuration(9, "extra"));
     for instance in &deployment.instances {
-        wait_for("the change is in force there", || instance.lines().contains("\"version\":\"9\""));
+        wait_for("the change is in force there", || instance.log().contains("\"version\":\"9\""));
     }
     // The store is there for one of them, so that an entry that ends has not lapsed.
     deployment.store.remove("keyed.servers", "d1");
     for instance in &deployment.instances {
-        let ended = || last_of(&instance.lines(), "server's entry ended");
+        let ended = || last_of(&instance.log(), "server's entry ended");
         wait_for("the end is known there", || !ended().is_empty());
         assert!(ended().contains("\"held\":\"false\""), "{}", ended());
     }
@@ -112,78 +112,78 @@
 /// An instance that is gone for good is taken off the list; one whose entry was dropped although it is
 /// there enters itself again.
 #[test]
-fn instances_that_are_gone_are_forgotten() {
+fn dead_instances_are_removed_from_the_list() {
     let mut deployment = Deployment::unconfigured(3);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
-    wait_for("they know each other", || known(&deployment, 3));
+    wait_for("they know each other", || all_registered(&deployment, 3));
     deployment.instances[2].signal("KILL");
     wait_for("it is gone", || deployment.instances[2].ended().is_some());
     wait_for("it is off the list", || deployment.store.newest("keyed.instances", "i2").is_none());
-    assert!(known(&deployment, 2));
+    assert!(all_registered(&deployment, 2));
     deployment.instances[2].restart();
-    wait_for("it is back", || known(&deployment, 3));
+    wait_for("it is back", || all_registered(&deployment, 3));
     deployment.store.remove("keyed.instances", "i1");
-    wait_for("it enters itself again", || known(&deployment, 3));
+    wait_for("it enters itself again", || all_registered(&deployment, 3));
 }
 
 /// An instance that cannot write to the store is entered by another one that reads it.
 #[test]
-fn an_instance_is_entered_by_another() {
+fn read_only_instance_is_registered_by_another() {
     let mut deployment = Deployment::new(1);
-    wait_for("the first one entered itself", || known(&deployment, 1));
-    let door = deployment.store.endpoint().expect("a way to the store");
-    door.set_read_only();
-    deployment.add_instance_with("i1", door, "");
-    wait_for("it is entered", || known(&deployment, 2));
+    wait_for("the first one entered itself", || all_registered(&deployment, 1));
+    let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+    store_endpoint.set_read_only();
+    deployment.add_instance_with("i1", store_endpoint, "");
+    wait_for("it is entered", || all_registered(&deployment, 2));
 }
 
 /// An instance that restarts where it was finds its entry and writes nothing.
 #[test]
-fn a_restart_writes_nothing() {
+fn restart_reuses_the_instance_entry() {
     let mut deployment = Deployment::new(2);
-    wait_for("they know each other", || known(&deployment, 2));
+    wait_for("they know each other", || all_registered(&deployment, 2));
     let entered = deployment.store.newest("keyed.instances", "i1");
     deployment.instances[1].signal("KILL");
     wait_for("it is gone", || deployment.instances[1].ended().is_some());
-    let before = deployment.instances[1].door.appends();
+    let before = deployment.instances[1].store_endpoint.appends();
     deployment.instances[1].restart();
     wait_for("it serves", || {
-        deployment.call(1, &Call::get("/read/")).is_ok_and(|answer| answer.status == 200)
+        deployment.send(1, &Request::get("/read/")).is_ok_and(|response| response.status == 200)
     });
-    assert_eq!(deployment.instances[1].door.appends(), before);
+    assert_eq!(deployment.instances[1].store_endpoint.appends(), before);
     assert_eq!(deployment.store.newest("keyed.instances", "i1"), entered);
 }
 
 /// A request that comes while an instance starts waits for the configuration.
 #[test]
-fn a_starting_instance_refuses_nothing() {
+fn request_waits_while_an_instance_starts() {
     let mut deployment = Deployment::empty(false);
     deployment.add_server("d1", DESK);
-    let door = deployment.store.endpoint().expect("a way to the store");
-    deployment.add_instance_with("i0", door, "[start]\nwait_ms = 45000\n");
-    let call = Call::get("/read/").with("Drumusher-Deadline-Ms", "600000");
+    let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+    deployment.add_instance_with("i0", store_endpoint, "[start]\nwait_ms = 45000\n");
+    let request = Request::get("/read/").with("Drumusher-Deadline-Ms", "600000");
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&call.bytes()).expect("sent");
+    conn.write_all(&request.bytes()).expect("sent");
     assert!(!deployment.instances[0].ready(), "nothing is in force yet");
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
-    let answer = read(&mut conn).expect("an answer");
-    assert_eq!((answer.status, answer.text()), (200, body(&call.id)));
+    let response = read_response(&mut conn).expect("an answer");
+    assert_eq!((response.status, response.text()), (200, body(&request.id)));
 }
 
 /// The records of backend servers that a deployment of tests begins with.
-const SERVERS: f64 = 4.0;
+const SERVER_RECORDS: f64 = 4.0;
 
 /// The places of the instances, of six, that read the store now.
 pub fn readers(deployment: &Deployment) -> Vec<usize> {
     let reads = |at: &usize| {
-        let line = last_of(&deployment.instances[*at].lines(), "reads the store for others");
+        let line = last_of(&deployment.instances[*at].log(), "reads the store for others");
         line.contains("\"reads\":\"true\"")
     };
     (0..6).filter(reads).collect()
 }
 
 /// The places of the four of six instances that read the store once all are listed.
-pub fn four_by_rank() -> Vec<usize> {
+pub fn expected_readers() -> Vec<usize> {
     let names: Vec<String> = (0..6).map(|at| format!("i{at}")).collect();
     let candidates = names.iter().map(|name| Candidate { name, capacity: DEFAULT_CAPACITY });
     let ranked = rank::order("store", candidates);
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -24,32 +24,34 @@
 use drumusher_bench::fleet::{Mode, wait_for};
 use rstest::rstest;
 
-use crate::support::{Call, DESK, Deployment, OPERATOR, ask, configuration};
+use crate::support::{DESK, Deployment, OPERATOR, Request, configuration, operator_query};
 
 /// Within this after a limit is first named it is to be kept.
-const KEPT_WITHIN: Duration = Duration::from_secs(3);
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
 /// Within this after an instance was told that a server leaves it is to send nothing more there.
-const LEFT_WITHIN: Duration = Duration::from_secs(2);
+const LEAVING_GRACE: Duration = Duration::from_secs(2);
 /// Requests a second of all callers together.
-const RATE: u64 = 60;
+const REQUESTS_PER_SECOND: u64 = 60;
 
 /// Instances, and so many plain servers.
 fn deploy(instances: usize, servers: usize) -> Deployment {
-    deploy_behind(instances, servers, false)
+    deploy_with_relays(instances, servers, false)
 }
 
 /// The same, with relays before the instances or not.
-fn deploy_behind(instances: usize, servers: usize, relayed: bool) -> Deployment {
-    let mut deployment = Deployment::empty(relayed);
+fn deploy_with_relays(instances: usize, servers: usize, with_relays: bool) -> Deployment {
+    let mut deployment = Deployment::empty(with_relays);
     (0..servers).for_each(|number| deployment.add_server(&format!("d{number}"), DESK));
     for number in 0..instances {
-        let door = deployment.store.endpoint().expect("a way to the store");
-        deployment.add_instance_with(&format!("i{number}"), door, OPERATOR);
+        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        deployment.add_instance_with(&format!("i{number}"), store_endpoint, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     for at in 0..instances {
         wait_for("the instance serves", || {
-            deployment.call(at, &Call::get("/read/")).is_ok_and(|answer| answer.status == 200)
+            deployment
+                .send(at, &Request::get("/read/"))
+                .is_ok_and(|response| response.status == 200)
         });
     }
     deployment
@@ -66,13 +68,13 @@
 }
 
 /// Callers who come at the instances in turn, without waiting for answers, for a time. Returns the statuses.
-fn come(deployment: &Deployment, rate: u64, time: Duration) -> Vec<u16> {
+fn send_load(deployment: &Deployment, rate: u64, time: Duration) -> Vec<u16> {
     let all: Vec<usize> = (0..deployment.instances.len()).collect();
-    come_at(deployment, &all, rate, time)
+    send_load_to(deployment, &all, rate, time)
 }
 
 /// The same at some of the instances.
-fn come_at(deployment: &Deployment, some: &[usize], rate: u64, time: Duration) -> Vec<u16> {
+fn send_load_to(deployment: &Deployment, some: &[usize], rate: u64, time: Duration) -> Vec<u16> {
     let since = Instant::now();
     let pause = Duration::from_secs(1) / rate as u32;
     thread::scope(|scope| {
@@ -83,8 +85,8 @@
             }
             let at = some[number as usize % some.len()];
             callers.push(scope.spawn(move || {
-                let call = Call::get(&path(deployment, at));
-                deployment.call(at, &call).map_or(0, |answer| answer.status)
+                let request = Request::get(&path(deployment, at));
+                deployment.send(at, &request).map_or(0, |response| response.status)
             }));
             thread::sleep((pause * (number + 1)).saturating_sub(since.elapsed()));
         }
@@ -93,25 +95,25 @@
 }
 
 /// How much more arrived at a server than a limit allows.
-fn over(server: &Server, rate: f64) -> f64 {
-    over_limit(&server.arrivals(), sender, (rate, KEPT_WITHIN))
+fn excess_over_limit(server: &Server, rate: f64) -> f64 {
+    over_limit(&server.arrivals(), sender, (rate, LIMIT_GRACE))
 }
 
 /// A server that names a limit gets no more than that from all instances together, whether it is one of many or all do.
 #[test]
-fn a_limit_is_kept_by_all_instances_together() {
+fn server_limit_holds_across_instances() {
     thread::scope(|scope| {
         for (servers, limited) in [(5, 1), (3, 3)] {
             scope.spawn(move || {
                 let deployment = deploy(3, servers);
-                let in_need = &deployment.servers[..limited];
-                in_need.iter().for_each(|server| server.announce(Notice::limit("2.0")));
-                come(&deployment, RATE, Duration::from_secs(12));
-                for server in in_need {
-                    let over = over(server, 2.0);
+                let limited_servers = &deployment.servers[..limited];
+                limited_servers.iter().for_each(|server| server.announce(Notice::limit("2.0")));
+                send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(12));
+                for server in limited_servers {
+                    let excess = excess_over_limit(server, 2.0);
                     assert!(
-                        over <= 0.0,
-                        "{limited} of {servers} limited: {over} more than allowed"
+                        excess <= 0.0,
+                        "{limited} of {servers} limited: {excess} more than allowed"
                     );
                 }
             });
@@ -122,28 +124,28 @@
 /// A server that says that it leaves gets nothing more from those that it told, although its record says otherwise and is
 /// written anew.
 #[test]
-fn one_that_says_that_it_leaves_gets_nothing_more() {
+fn leaving_notice_stops_requests() {
     let deployment = deploy(3, 3);
     let leaving = &deployment.servers[0];
     leaving.announce(Notice::leaving());
     for _ in 0..5 {
-        come(&deployment, RATE, Duration::from_secs(1));
+        send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(1));
         let entry = leaving.entry(DESK, "ready").replace(r#""Slots":8"#, r#""Slots":7"#);
         deployment.store.put("keyed.servers", &leaving.id, &entry);
         deployment.store.put("keyed.servers", &leaving.id, &leaving.entry(DESK, "ready"));
     }
-    let late = requests_after_leaving(&leaving.arrivals(), sender, LEFT_WITHIN);
+    let late = requests_after_leaving(&leaving.arrivals(), sender, LEAVING_GRACE);
     assert_eq!(late, 0, "of {} arrivals", leaving.arrivals().len());
 }
 
 /// A server that turns requests away and asks for rest gets it from each instance that it asked.
 #[test]
-fn one_that_asks_for_rest_gets_it() {
+fn rest_notice_pauses_requests() {
     let deployment = deploy(3, 3);
     let resting = &deployment.servers[0];
     resting.announce(Notice::rest("3"));
     resting.set(Fault::Overloaded);
-    come(&deployment, RATE, Duration::from_secs(8));
+    send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(8));
     let most = max_requests_during_rest(&resting.arrivals(), sender);
     assert!(most <= MAX_REQUESTS_DURING_REST, "{most} from one instance within a rest");
 }
@@ -151,18 +153,21 @@
 /// An operator sees who is limited, leaving or at rest, since when and by whose word, and that it changed; and that a
 /// server says what cannot be read.
 #[test]
-fn operators_see_what_servers_say() {
+fn operators_can_query_notices() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
     let told = |what: &str, words: &[&str]| {
         wait_for(what, || {
-            come(&deployment, RATE, Duration::from_millis(200));
-            let rows = ask(&deployment.instances[1], "show notices where limit_per_second = 0.5");
+            send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(200));
+            let rows = operator_query(
+                &deployment.instances[1],
+                "show notices where limit_per_second = 0.5",
+            );
             words.iter().all(|words| rows.contains(words))
         });
     };
     server.announce(Notice::limit("abc"));
-    come(&deployment, RATE, Duration::from_millis(200));
+    send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(200));
     server.set(Fault::Overloaded);
     server.announce(Notice {
         leaving: Some("1".into()),
@@ -170,7 +175,7 @@
         ..Notice::limit("0.5")
     });
     told("all is told of", &["\"leaving\":true", "\"rest_left_ms\":5", "\"heard_by\":\"i"]);
-    let lines: String = deployment.instances.iter().map(|instance| instance.lines()).collect();
+    let lines: String = deployment.instances.iter().map(|instance| instance.log()).collect();
     for words in ["names a limit", "says that it leaves", "asks for rest", "cannot be read"] {
         assert!(lines.contains(words), "no line says {words:?}");
     }
@@ -183,7 +188,7 @@
 
 /// What becomes of instances while a server is limited.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Disruption {
     /// They are killed one after the other and start again, the dispatcher among them.
     Killed,
     /// They are told to stop one after the other and start again.
@@ -197,53 +202,53 @@
 /// A limit is kept by all together although dispatchers change and the fleet is divided. What is counted against it are
 /// those that were told; a process that starts again is another one.
 #[rstest]
-#[case(Trouble::Killed)]
-#[case(Trouble::Rolled)]
-#[case(Trouble::Frozen)]
-#[case(Trouble::CutOff)]
-fn a_limit_is_kept_although_dispatchers_change(#[case] trouble: Trouble) {
-    let mut deployment = deploy_behind(4, 3, true);
-    let in_need = deployment.servers[0].clone();
-    in_need.announce(Notice::limit("3"));
-    come(&deployment, RATE, Duration::from_secs(4));
+#[case(Disruption::Killed)]
+#[case(Disruption::Rolled)]
+#[case(Disruption::Frozen)]
+#[case(Disruption::CutOff)]
+fn server_limit_holds_while_dispatchers_change(#[case] disruption: Disruption) {
+    let mut deployment = deploy_with_relays(4, 3, true);
+    let limited_servers = deployment.servers[0].clone();
+    limited_servers.announce(Notice::limit("3"));
+    send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(4));
     for at in 0..4 {
-        disturb(&mut deployment, at, trouble);
-        let up: Vec<usize> = match trouble {
-            Trouble::CutOff => (0..4).collect(),
+        disrupt(&mut deployment, at, disruption);
+        let up: Vec<usize> = match disruption {
+            Disruption::CutOff => (0..4).collect(),
             _ => (0..4).filter(|other| *other != at).collect(),
         };
-        come_at(&deployment, &up, RATE, Duration::from_millis(1_200));
-        restore(&mut deployment, at, trouble);
-        come(&deployment, RATE, Duration::from_millis(800));
+        send_load_to(&deployment, &up, REQUESTS_PER_SECOND, Duration::from_millis(1_200));
+        restore(&mut deployment, at, disruption);
+        send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(800));
     }
-    let over = over(&in_need, 3.0);
-    println!("{trouble:?}: {over} beyond what is allowed");
-    assert!(over <= 0.0, "{trouble:?}: {over} more than allowed");
+    let excess = excess_over_limit(&limited_servers, 3.0);
+    println!("{disruption:?}: {excess} beyond what is allowed");
+    assert!(excess <= 0.0, "{disruption:?}: {excess} more than allowed");
 }
 
-fn disturb(deployment: &mut Deployment, at: usize, trouble: Trouble) {
+fn disrupt(deployment: &mut Deployment, at: usize, disruption: Disruption) {
     let instance = &mut deployment.instances[at];
-    match trouble {
-        Trouble::Killed => instance.signal("KILL"),
-        Trouble::Rolled => instance.signal("TERM"),
-        Trouble::Frozen => instance.signal("STOP"),
-        Trouble::CutOff => set_peers(deployment, Mode::Mute),
+    match disruption {
+        Disruption::Killed => instance.signal("KILL"),
+        Disruption::Rolled => instance.signal("TERM"),
+        Disruption::Frozen => instance.signal("STOP"),
+        Disruption::CutOff => set_peer_relays(deployment, Mode::Mute),
     }
 }
 
-fn restore(deployment: &mut Deployment, at: usize, trouble: Trouble) {
+fn restore(deployment: &mut Deployment, at: usize, disruption: Disruption) {
     let instance = &mut deployment.instances[at];
-    match trouble {
-        Trouble::Killed | Trouble::Rolled => {
+    match disruption {
+        Disruption::Killed | Disruption::Rolled => {
             wait_for("the process is gone", || instance.ended().is_some());
             instance.restart();
         }
-        Trouble::Frozen => instance.signal("CONT"),
-        Trouble::CutOff => set_peers(deployment, Mode::Open),
+        Disruption::Frozen => instance.signal("CONT"),
+        Disruption::CutOff => set_peer_relays(deployment, Mode::Open),
     }
 }
 
-fn set_peers(deployment: &Deployment, mode: Mode) {
+fn set_peer_relays(deployment: &Deployment, mode: Mode) {
     let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
     relays.for_each(|relays| relays.peers.set(mode));
 }
@@ -253,20 +258,20 @@
 #[case("0")]
 #[case("0.2")]
 #[case("5")]
-fn a_limit_that_ends_is_noticed(#[case] limit: &str) {
+fn traffic_returns_after_a_limit_is_lifted(#[case] limit: &str) {
     let deployment = deploy(2, 2);
     let server = &deployment.servers[0];
     server.announce(Notice::limit(limit));
-    come(&deployment, RATE, Duration::from_secs(2));
+    send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(2));
     server.announce(Notice::default());
-    let lifted = |at: usize| ask(&deployment.instances[at], "show notices").is_empty();
+    let lifted = |at: usize| operator_query(&deployment.instances[at], "show notices").is_empty();
     wait_for("no limit is in force", || {
-        come(&deployment, RATE, Duration::from_millis(200));
+        send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(200));
         lifted(0) && lifted(1)
     });
     let before = server.arrivals().len();
     wait_for("it gets as much as before", || {
-        come(&deployment, RATE, Duration::from_millis(500));
+        send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(500));
         server.arrivals().len() > before + 20
     });
 }
@@ -279,56 +284,63 @@
 #[case(Notice::limit("1e30"))]
 #[case(Notice::limit("1000"))]
 #[case(Notice { leaving: Some("0".into()), ..Notice::default() })]
-fn nonsense_holds_up_nothing(#[case] notice: Notice) {
+fn malformed_or_excessive_notices_block_nothing(#[case] notice: Notice) {
     let deployment = deploy(2, 1);
     deployment.servers[0].announce(notice);
-    let statuses = come(&deployment, RATE, Duration::from_secs(1));
+    let statuses = send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(1));
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
 
 /// All servers of a service are limited: callers who cannot be in time are told so truly, with a time to come back.
 #[test]
-fn who_cannot_be_served_within_the_limits_is_told_so() {
+fn requests_beyond_the_limits_are_refused_with_retry_after() {
     let deployment = deploy(2, 2);
     deployment.servers.iter().for_each(|server| server.announce(Notice::limit("1")));
-    let statuses = come(&deployment, RATE, Duration::from_secs(4));
+    let statuses = send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(4));
     assert!(statuses.iter().all(|status| [200, 429, 503].contains(status)), "{statuses:?}");
-    let call = Call::get(&path(&deployment, 0));
-    let refused = || deployment.call(0, &call.anew()).ok().filter(|answer| answer.status != 200);
-    let mut answer = None;
+    let request = Request::get(&path(&deployment, 0));
+    let refused = || {
+        deployment.send(0, &request.with_new_id()).ok().filter(|response| response.status != 200)
+    };
+    let mut response = None;
     wait_for("one is refused", || {
-        answer = refused();
-        answer.is_some()
+        response = refused();
+        response.is_some()
     });
-    let answer = answer.expect("it is refused");
-    let again: f64 = answer.header("retry-after").and_then(|t| t.parse().ok()).expect("a time");
-    assert!(again > 0.0 && answer.text().contains(r#""ran":"no""#), "{again}: {}", answer.text());
+    let response = response.expect("it is refused");
+    let again: f64 = response.header("retry-after").and_then(|t| t.parse().ok()).expect("a time");
+    assert!(
+        again > 0.0 && response.text().contains(r#""ran":"no""#),
+        "{again}: {}",
+        response.text()
+    );
 }
 
 /// The only server rests for one instance: its callers are told at once how long, and nothing is sent; another instance
 /// goes on.
 #[test]
-fn where_all_servers_rest_callers_are_told_how_long() {
+fn requests_are_refused_with_retry_after_while_all_servers_rest() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
     server.announce(Notice::rest("20"));
     server.set(Fault::Overloaded);
-    let call = Call::get(&path(&deployment, 0));
-    assert_ne!(deployment.call(0, &call.anew()).expect("an answer").status, 200);
+    let request = Request::get(&path(&deployment, 0));
+    assert_ne!(deployment.send(0, &request.with_new_id()).expect("an answer").status, 200);
     server.set(Fault::None);
     let reached = server.arrivals().len();
     for _ in 0..5 {
-        let answer = deployment.call(0, &call.anew()).expect("an answer");
-        assert_eq!(answer.status, 503);
-        let again: f64 = answer.header("retry-after").and_then(|t| t.parse().ok()).expect("a time");
+        let response = deployment.send(0, &request.with_new_id()).expect("an answer");
+        assert_eq!(response.status, 503);
+        let again: f64 =
+            response.header("retry-after").and_then(|t| t.parse().ok()).expect("a time");
         assert!((1.0..=20.0).contains(&again), "{again}");
     }
     assert_eq!(server.arrivals().len(), reached, "nothing is sent there");
     let returned = deployment.instances[0].metric(&["grants_returned"]);
     assert_eq!(returned, 0.0, "its dispatcher plans by it, and grants nothing");
-    let other = Call::get(&path(&deployment, 1));
+    let other = Request::get(&path(&deployment, 1));
     wait_for("the other one is served", || {
-        deployment.call(1, &other.anew()).is_ok_and(|answer| answer.status == 200)
+        deployment.send(1, &other.with_new_id()).is_ok_and(|response| response.status == 200)
     });
 }
 
@@ -339,7 +351,7 @@
 #[case(Fault::Fails, "/read/")]
 #[case(Fault::Crossed, "/read/")]
 #[case(Fault::None, "/talk/")]
-fn any_answer_says_that_its_server_leaves(#[case] fault: Fault, #[case] path: &str) {
+fn leaving_notice_is_read_from_any_response(#[case] fault: Fault, #[case] path: &str) {
     let deployment = Deployment::new(1);
     let prefix = if path == "/read/" { "d" } else { "m" };
     let mut of_service = deployment.servers.iter().filter(|server| server.id.starts_with(prefix));
@@ -349,14 +361,14 @@
     // So that the first one is tried.
     other.set(Fault::Overloaded);
     wait_for("the instance was told", || {
-        let _ = deployment.call(0, &Call::get(path));
-        deployment.instances[0].lines().contains("says that it leaves")
+        let _ = deployment.send(0, &Request::get(path));
+        deployment.instances[0].log().contains("says that it leaves")
     });
     [leaving, other].iter().for_each(|server| server.set(Fault::None));
     let reached = leaving.arrivals().len();
     for _ in 0..20 {
         wait_for("it is served", || {
-            deployment.call(0, &Call::get(path)).is_ok_and(|answer| answer.status == 200)
+            deployment.send(0, &Request::get(path)).is_ok_and(|response| response.status == 200)
         });
     }
     assert_eq!(leaving.arrivals().len(), reached);
@@ -364,21 +376,21 @@
 
 /// All servers of a service leave: callers are told at once that nothing ran. A new start of one is another server.
 #[test]
-fn a_new_start_ends_what_was_said() {
+fn server_restart_clears_its_notices() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
     server.announce(Notice::leaving());
-    come(&deployment, RATE, Duration::from_millis(300));
+    send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(300));
     let reached = server.arrivals().len();
-    let statuses = come(&deployment, RATE, Duration::from_secs(1));
+    let statuses = send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(1));
     assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
     assert_eq!(server.arrivals().len(), reached);
     server.announce(Notice::default());
     deployment.store.put("keyed.servers", &server.id, &server.entry_started_at(DESK, "ready", 9));
     for at in 0..2 {
         wait_for("it is served", || {
-            let call = Call::get(&path(&deployment, at));
-            deployment.call(at, &call).is_ok_and(|answer| answer.status == 200)
+            let request = Request::get(&path(&deployment, at));
+            deployment.send(at, &request).is_ok_and(|response| response.status == 200)
         });
     }
 }
--- a/crates/drumusher/tests/routes/entries.rs
+++ b/crates/drumusher/tests/routes/server_entries.rs
@@ -3,7 +3,7 @@
 use drumusher_adapter_stand_in::Fault;
 use drumusher_bench::fleet::wait_for;
 
-use crate::support::{Call, DESK, Deployment, configuration};
+use crate::support::{DESK, Deployment, Request, configuration};
 
 /// What another writer may leave in a table, as key and value.
 const FOREIGN: [(&[u8], &[u8]); 7] = [
@@ -19,7 +19,7 @@
 /// One record whose bytes were no text stopped every reader of its table for good. Now it names nothing, has a
 /// line, and what comes after it is in force: read as a change and, by an instance that starts, as a whole.
 #[test]
-fn foreign_entries_hold_up_nothing() {
+fn malformed_entries_do_not_block_readers() {
     let mut deployment = Deployment::new(1);
     for topic in ["keyed.op", "keyed.servers", "keyed.instances"] {
         for (key, value) in FOREIGN {
@@ -28,20 +28,20 @@
     }
     deployment.store.put("keyed.op", "config", &configuration(2, "extra"));
     let serves = |deployment: &Deployment, instance: usize| {
-        let answer = deployment.call(instance, &Call::get("/extra/"));
-        answer.is_ok_and(|answer| answer.status == 200)
+        let response = deployment.send(instance, &Request::get("/extra/"));
+        response.is_ok_and(|response| response.status == 200)
     };
     wait_for("the change after them is in force", || serves(&deployment, 0));
     deployment.add_instance("late");
     wait_for("an instance that starts reads the tables", || serves(&deployment, 1));
-    let told = || deployment.instances[0].lines().matches("passed over").count() >= 8;
-    wait_for("each has its line", told);
+    let logged = || deployment.instances[0].log().matches("passed over").count() >= 8;
+    wait_for("each has its line", logged);
 }
 
 /// The entry of a server that starts again under its name may come before its connections break, or in place of
 /// that if it lost power: then what it ran is over, and its clients need not wait for an end that never comes.
 #[test]
-fn what_a_server_ran_ends_when_it_starts_again() {
+fn server_restart_ends_the_requests_it_ran() {
     let deployment = Deployment::new(1);
     let announce = |born: u64| {
         for id in ["d1", "d2"] {
@@ -50,7 +50,7 @@
         }
     };
     let known = |born: u64| {
-        let lines = deployment.instances[0].lines();
+        let lines = deployment.instances[0].log();
         lines.matches(&format!("\"born\":\"{born}\"")).count() == 2
     };
     announce(1_000);
@@ -58,17 +58,17 @@
     for id in ["d1", "d2"] {
         deployment.server(id).set(Fault::Hang);
     }
-    let call = Call::post("/book/", "a booking");
+    let request = Request::post("/book/", "a booking");
     std::thread::scope(|scope| {
-        let waiting = scope.spawn(|| deployment.call(0, &call).expect("an answer"));
-        wait_for("the booking runs", || deployment.runs(&call.id) == 1);
+        let waiting = scope.spawn(|| deployment.send(0, &request).expect("an answer"));
+        wait_for("the booking runs", || deployment.runs(&request.id) == 1);
         announce(2_000);
-        let answer = waiting.join().expect("the call ends");
-        assert_eq!(answer.status, 502, "not 504, which only the end of its time brings");
+        let response = waiting.join().expect("the call ends");
+        assert_eq!(response.status, 502, "not 504, which only the end of its time brings");
     });
     for id in ["d1", "d2"] {
         deployment.server(id).set(Fault::None);
     }
-    let after = Call::post("/book/", "another");
-    assert_eq!(deployment.call(0, &after).expect("an answer").status, 200);
+    let after = Request::post("/book/", "another");
+    assert_eq!(deployment.send(0, &after).expect("an answer").status, 200);
 }
--- a/crates/drumusher/tests/routes/soak/caller.rs
+++ b/crates/drumusher/tests/routes/soak/caller.rs
@@ -12,21 +12,21 @@
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use super::promise::{self, Journal};
-use crate::support::{Call, Deployment, read};
+use super::journal::{self, Journal};
+use crate::support::{Deployment, Request, read_response};
 
 /// A caller waits so long for the next byte of an answer: longer than its route allows.
-const PATIENCE: Duration = Duration::from_millis(3_600);
+const READ_TIMEOUT: Duration = Duration::from_millis(3_600);
 /// Time between two requests of a caller, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 5..60;
+const REQUEST_INTERVAL_MS: std::ops::Range<u64> = 5..60;
 /// Part of the requests whose caller leaves before the answer.
-const LEAVES: f64 = 0.05;
+const ABANDON_PROBABILITY: f64 = 0.05;
 /// Part of the requests that ask which version of the configuration is in force.
-const PROBES: f64 = 0.15;
+const PROBE_PROBABILITY: f64 = 0.15;
 /// Part of the requests on a kept connection, where there is one.
-const KEPT: f64 = 0.7;
+const REUSE_PROBABILITY: f64 = 0.7;
 /// A version that is asked for is at most so much older than the newest.
-const LOOK_BACK: u64 = 3;
+const MAX_VERSION_LAG: u64 = 3;
 
 /// A caller.
 pub struct Caller<'a> {
@@ -59,69 +59,69 @@
     pub fn run(mut self, stop: &AtomicBool) {
         while !stop.load(Ordering::Acquire) {
             let at = self.random.random_range(0..self.addresses.len());
-            if self.random.random_bool(PROBES) {
+            if self.random.random_bool(PROBE_PROBABILITY) {
                 self.probe(at);
             } else {
-                let call = self.draw();
-                self.journal.sends(&call, at);
-                self.exchange(at, &call);
+                let request = self.random_request();
+                self.journal.record_request(&request, at);
+                self.exchange(at, &request);
             }
-            thread::sleep(Duration::from_millis(self.random.random_range(PAUSE_MS)));
+            thread::sleep(Duration::from_millis(self.random.random_range(REQUEST_INTERVAL_MS)));
         }
     }
 
     /// Any request.
-    fn draw(&mut self) -> Call {
+    fn random_request(&mut self) -> Request {
         match self.random.random_range(0..4) {
-            0 => Call::get("/read/"),
-            1 => Call::post("/book/", &format!("a booking of caller {}", self.number)),
-            2 => Call::post("/draft/", "a draft"),
-            _ => Call::post("/talk/", "a talk"),
+            0 => Request::get("/read/"),
+            1 => Request::post("/book/", &format!("a booking of caller {}", self.number)),
+            2 => Request::post("/draft/", "a draft"),
+            _ => Request::post("/talk/", "a talk"),
         }
     }
 
     /// Sends a request and checks what comes. A failed connection promises nothing.
-    fn exchange(&mut self, at: usize, call: &Call) -> Option<u16> {
+    fn exchange(&mut self, at: usize, request: &Request) -> Option<u16> {
         let mut conn = self.connection(at)?;
-        conn.write_all(&call.bytes()).ok()?;
-        if self.random.random_bool(LEAVES) {
+        conn.write_all(&request.bytes()).ok()?;
+        if self.random.random_bool(ABANDON_PROBABILITY) {
             let stay = self.random.random_range(0..80);
             thread::sleep(Duration::from_millis(stay));
             return None;
         }
-        let answer = read(&mut conn).ok()?;
-        self.journal.answered(call, &answer);
-        if answer.whole && answer.header("connection") != Some("close") {
+        let response = read_response(&mut conn).ok()?;
+        self.journal.record_response(request, &response);
+        if response.complete && response.header("connection") != Some("close") {
             self.kept.insert(at, conn);
         }
-        Some(answer.status)
+        Some(response.status)
     }
 
     /// Asks on a route that only one version has. A route that is not there is no fault.
     fn probe(&mut self, at: usize) {
         let newest = self.journal.newest_version();
-        let version = newest - self.random.random_range(0..LOOK_BACK.min(newest));
-        let call = Call::get(&format!("/{}/", promise::route(version)));
-        let (starts, before) = self.journal.shown(at);
+        let version = newest - self.random.random_range(0..MAX_VERSION_LAG.min(newest));
+        let request = Request::get(&format!("/{}/", journal::route(version)));
+        let (starts, before) = self.journal.seen_version(at);
         let Some(mut conn) = self.connection(at) else { return };
-        if conn.write_all(&call.bytes()).is_err() {
+        if conn.write_all(&request.bytes()).is_err() {
             return;
         }
-        if let Ok(answer) = read(&mut conn)
-            && answer.status == 200
+        if let Ok(response) = read_response(&mut conn)
+            && response.status == 200
         {
-            self.journal.shows(at, starts, before, version);
+            self.journal.record_version(at, starts, before, version);
         }
     }
 
     /// A kept connection to an instance, or a new one.
     fn connection(&mut self, at: usize) -> Option<TcpStream> {
-        let kept = self.kept.remove(&at).filter(|_| self.random.random_bool(KEPT));
+        let kept = self.kept.remove(&at).filter(|_| self.random.random_bool(REUSE_PROBABILITY));
         if kept.is_some() {
             return kept;
         }
         let conn = TcpStream::connect(self.addresses[at]).ok()?;
-        conn.set_read_timeout(Some(PATIENCE)).ok()?;
+        conn.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
         Some(conn)
     }
 }
--- a/crates/drumusher/tests/routes/soak/ending.rs
+++ b/crates/drumusher/tests/routes/soak/crashing_request.rs
@@ -11,18 +11,18 @@
 use drumusher_adapter_stand_in::Crash;
 use drumusher_bench::fleet::wait_for;
 
-use crate::support::{Call, DESK, Deployment, MODEL, read};
+use crate::support::{DESK, Deployment, MODEL, Request, read_response};
 
 /// Its paths: a plain request and a stream.
 const PATHS: [&str; 2] = ["/read/ends", "/talk/ends"];
 /// Time between two of them.
-const AGAIN: Duration = Duration::from_millis(150);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// How long it runs before its backend server ends.
-const AFTER: Duration = Duration::from_millis(30);
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 /// How long that is down.
-const DOWN: Duration = Duration::from_millis(300);
+const DOWNTIME: Duration = Duration::from_millis(300);
 /// A caller waits so long for the next byte of an answer.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Lets the backend servers end under it.
 pub fn prepare(deployment: &Deployment) {
@@ -33,8 +33,8 @@
         };
         server.crash_on(Some(Crash {
             path: path.into(),
-            after: AFTER,
-            down: DOWN,
+            after: CRASH_DELAY,
+            down: DOWNTIME,
             renamed: false,
             service: service.into(),
             store: deployment.store.clone(),
@@ -43,19 +43,19 @@
 }
 
 /// Comes with it to one instance after the other until `stop`. Its answers are not checked: they are failures.
-pub fn come(addresses: &[SocketAddr], stop: &AtomicBool) {
+pub fn repeat_requests(addresses: &[SocketAddr], stop: &AtomicBool) {
     for number in 0.. {
         if stop.load(Ordering::Acquire) {
             return;
         }
-        let call = Call::get(PATHS[number / addresses.len() % PATHS.len()]);
+        let request = Request::get(PATHS[number / addresses.len() % PATHS.len()]);
         if let Ok(mut conn) = TcpStream::connect(addresses[number % addresses.len()]) {
-            let timed = conn.set_read_timeout(Some(PATIENCE)).is_ok();
-            if timed && conn.write_all(&call.bytes()).is_ok() {
-                let _ = read(&mut conn);
+            let timed = conn.set_read_timeout(Some(READ_TIMEOUT)).is_ok();
+            if timed && conn.write_all(&request.bytes()).is_ok() {
+                let _ = read_response(&mut conn);
             }
         }
-        thread::sleep(AGAIN);
+        thread::sleep(REPEAT_INTERVAL);
     }
 }
 
@@ -64,19 +64,20 @@
 pub fn check_held(deployment: &Deployment) {
     prepare(deployment);
     let held = |at: usize, path: &str| {
-        let answer = deployment.call(at, &Call::get(path));
-        answer.is_ok_and(|answer| answer.text().contains("held_back"))
+        let response = deployment.send(at, &Request::get(path));
+        response.is_ok_and(|response| response.text().contains("held_back"))
     };
     for path in PATHS {
         for at in 0..deployment.instances.len() {
             wait_for("the request that ends servers is held back", || held(at, path));
         }
     }
-    let ends = || deployment.servers.iter().map(|server| server.crashes().len()).sum::<usize>();
-    let before = ends();
+    let crash_count =
+        || deployment.servers.iter().map(|server| server.crashes().len()).sum::<usize>();
+    let before = crash_count();
     for at in 0..deployment.instances.len() {
         assert!(PATHS.iter().all(|path| held(at, path)), "it is still held back");
     }
-    assert_eq!(ends(), before, "no backend server ends any more");
+    assert_eq!(crash_count(), before, "no backend server ends any more");
     println!("  {before} backend servers ended under the request");
 }
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -5,19 +5,19 @@
 //! | module | duty |
 //! |---|---|
 //! | `caller` | sends requests and checks each answer |
-//! | `ending` | a request that ends backend servers, and whether it is held back |
+//! | `crashing_request` | a request that ends backend servers, and whether it is held back |
 //! | `fault` | draws faults from a seed, applies them and ends them |
 //! | `notice` | what backend servers say of themselves, and whether instances keep to it |
-//! | `promise` | what was seen, and which promises it breaks |
+//! | `journal` | what was seen, and which promises it breaks |
 //!
 //! `cargo test -p drumusher --test routes -- soak::` plays the short list of CI and every seed that
 //! ever failed. `DRUMUSHER_SOAK=1000..1050 DRUMUSHER_SOAK_SECONDS=20` plays other seeds by hand.
 
 mod caller;
-mod ending;
+mod crashing_request;
 mod fault;
+mod journal;
 mod notice;
-mod promise;
 
 use std::{
     ops::Range,
@@ -33,23 +33,23 @@
 };
 use drumusher_bench::fleet::wait_for;
 
-pub use self::promise::knows_left;
-use self::{fault::Disturber, promise::Journal};
+pub use self::journal::knows_left;
+use self::{fault::FaultInjector, journal::Journal};
 use crate::{
-    doubt,
-    duties::{APART, scalable, settings},
-    support::{Call, DESK, Deployment, Instance, MODEL},
+    duties::{MIN_TENURE_GAP, scaling_configuration, settings},
+    support::{DESK, Deployment, Instance, MODEL, Request},
+    uncertain_removals,
 };
 
 /// Seeds that CI plays.
-const SHORT: Range<u64> = 1..3;
+const CI_SEEDS: Range<u64> = 1..3;
 /// Seeds that failed once, with the cause. Played in CI after the short list.
 ///
 /// 5032: whoever had the duties was stopped or killed five times in six seconds, so that none was done by the end, where
 /// the soak looked once. It now waits until one is done after the faults, with every seed.
-const FAILED: [u64; 1] = [5032];
+const REGRESSION_SEEDS: [u64; 1] = [5032];
 /// How long faults come, in CI.
-const SHORT_TIME: Duration = Duration::from_secs(5);
+const CI_DURATION: Duration = Duration::from_secs(5);
 /// Instances of the deployment.
 const INSTANCES: usize = 4;
 /// Backend servers of each service.
@@ -57,25 +57,25 @@
 /// Callers at work at once.
 const CALLERS: u64 = 12;
 /// Names the seeds to play by hand, as `FIRST..END`.
-const SEEDS: &str = "DRUMUSHER_SOAK";
+const SEEDS_VARIABLE: &str = "DRUMUSHER_SOAK";
 /// Names how long faults come, in seconds.
-const SECONDS: &str = "DRUMUSHER_SOAK_SECONDS";
+const SECONDS_VARIABLE: &str = "DRUMUSHER_SOAK_SECONDS";
 
 /// Plays the seeds of CI, or those that the environment names.
 #[test]
-fn the_promises_hold_under_random_faults() {
-    let seeds = match std::env::var(SEEDS) {
-        Ok(text) => named(&text).collect(),
-        Err(_) => SHORT.chain(FAILED).collect::<Vec<u64>>(),
+fn guarantees_hold_under_random_faults() {
+    let seeds = match std::env::var(SEEDS_VARIABLE) {
+        Ok(text) => parse_seeds(&text).collect(),
+        Err(_) => CI_SEEDS.chain(REGRESSION_SEEDS).collect::<Vec<u64>>(),
     };
-    let time = std::env::var(SECONDS).ok().and_then(|text| text.parse().ok());
-    let time = time.map_or(SHORT_TIME, Duration::from_secs);
+    let time = std::env::var(SECONDS_VARIABLE).ok().and_then(|text| text.parse().ok());
+    let time = time.map_or(CI_DURATION, Duration::from_secs);
     let mut failed = Vec::new();
     for seed in seeds {
-        let broken = play(seed, time);
-        println!("seed {seed}: {}", if broken.is_empty() { "kept" } else { "BROKEN" });
-        broken.iter().for_each(|line| println!("  {line}"));
-        if !broken.is_empty() {
+        let violations = run_seed(seed, time);
+        println!("seed {seed}: {}", if violations.is_empty() { "kept" } else { "BROKEN" });
+        violations.iter().for_each(|line| println!("  {line}"));
+        if !violations.is_empty() {
             failed.push(seed);
         }
     }
@@ -83,19 +83,19 @@
 }
 
 /// The seeds that a text names as `FIRST..END`.
-fn named(text: &str) -> Range<u64> {
-    let ends = text.split_once("..").expect("FIRST..END");
-    ends.0.parse().expect("a number")..ends.1.parse().expect("a number")
+fn parse_seeds(text: &str) -> Range<u64> {
+    let bounds = text.split_once("..").expect("FIRST..END");
+    bounds.0.parse().expect("a number")..bounds.1.parse().expect("a number")
 }
 
 /// Plays one seed; what it returns tells the promises that were broken. With odd seeds a request comes that ends backend
 /// servers.
-fn play(seed: u64, time: Duration) -> Vec<String> {
+fn run_seed(seed: u64, time: Duration) -> Vec<String> {
     let duties = Duties::start().expect("the platform starts");
     let mut deployment = deploy(&duties);
-    let ends = seed % 2 == 1;
-    if ends {
-        ending::prepare(&deployment);
+    let with_crashing_request = seed % 2 == 1;
+    if with_crashing_request {
+        crashing_request::prepare(&deployment);
     }
     let journal = Journal::new();
     let stop = AtomicBool::new(false);
@@ -106,33 +106,33 @@
             let stop = &stop;
             scope.spawn(move || caller.run(stop));
         }
-        if ends {
+        if with_crashing_request {
             let (addresses, stop) = (&addresses, &stop);
-            scope.spawn(move || ending::come(addresses, stop));
+            scope.spawn(move || crashing_request::repeat_requests(addresses, stop));
         }
         let since = Instant::now();
-        let mut disturber = Disturber::new(seed, &mut deployment, &journal, &duties);
+        let mut injector = FaultInjector::new(seed, &mut deployment, &journal, &duties);
         while since.elapsed() < time {
-            disturber.step();
+            injector.step();
         }
-        disturber.heal();
+        injector.recover_all();
         stop.store(true, Ordering::Release);
     });
     println!("seed {seed}: {}", journal.summary());
-    if ends {
-        ending::check_held(&deployment);
+    if with_crashing_request {
+        crashing_request::check_held(&deployment);
     }
     check_recovered(&deployment, &journal);
     let calls = duties.calls().len();
     wait_for("duties go on after the faults", || duties.calls().len() > calls);
-    let mut broken = journal.broken(&deployment.servers);
-    broken.extend(notice::broken(&deployment.servers, &journal));
-    broken.extend(deployment.instances.iter().filter_map(promise::panicked));
-    broken.extend(duties.violation(APART, &journal.thawed()));
-    if !broken.is_empty() {
-        deployment.keep();
+    let mut violations = journal.violations(&deployment.servers);
+    violations.extend(notice::violations(&deployment.servers, &journal));
+    violations.extend(deployment.instances.iter().filter_map(journal::find_panic));
+    violations.extend(duties.violation(MIN_TENURE_GAP, &journal.resumed_instances()));
+    if !violations.is_empty() {
+        deployment.keep_logs();
     }
-    broken
+    violations
 }
 
 /// A deployment whose connections all lead through relays.
@@ -143,10 +143,10 @@
         deployment.add_server(&format!("m{number}"), MODEL);
     }
     for number in 0..INSTANCES {
-        let door = deployment.store.endpoint().expect("a way to the store");
-        deployment.add_instance_with(&format!("i{number}"), door, &settings(duties));
+        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        deployment.add_instance_with(&format!("i{number}"), store_endpoint, &settings(duties));
     }
-    deployment.store.put("keyed.op", "config", &scalable(1, &promise::route(1)));
+    deployment.store.put("keyed.op", "config", &scaling_configuration(1, &journal::route(1)));
     deployment.wait_serving();
     deployment
 }
@@ -155,79 +155,90 @@
 /// gives nothing to backend servers that left.
 fn check_recovered(deployment: &Deployment, journal: &Journal) {
     let newest = journal.newest_version();
-    let calls = [Call::get("/read/"), Call::post("/book/", "x"), Call::post("/draft/", "x")];
+    let requests =
+        [Request::get("/read/"), Request::post("/book/", "x"), Request::post("/draft/", "x")];
     for at in 0..deployment.instances.len() {
         wait_for("the newest configuration is in force", || {
-            let path = format!("/{}/", promise::route(newest));
-            deployment.call(at, &Call::get(&path)).is_ok_and(|answer| answer.status == 200)
+            let path = format!("/{}/", journal::route(newest));
+            deployment.send(at, &Request::get(&path)).is_ok_and(|response| response.status == 200)
         });
-        for call in &calls {
+        for request in &requests {
             wait_for("the instance serves", || {
-                let call = call.anew();
-                let answer = deployment.call(at, &call);
-                let whole = if call.path == "/draft/" { events(&call.id) } else { body(&call.id) };
-                answer.is_ok_and(|answer| answer.status == 200 && answer.text() == whole)
+                let request = request.with_new_id();
+                let response = deployment.send(at, &request);
+                let complete =
+                    if request.path == "/draft/" { events(&request.id) } else { body(&request.id) };
+                response.is_ok_and(|response| response.status == 200 && response.text() == complete)
             });
         }
-        for id in journal.left() {
+        for id in journal.departed_servers() {
             wait_for("the instance knows who left", || {
-                promise::knows_left(&deployment.instances[at], &id)
+                journal::knows_left(&deployment.instances[at], &id)
             });
         }
     }
-    check_left(deployment, journal, &calls);
-    check_silent_end(deployment, journal, &calls);
+    check_departed(deployment, journal, &requests);
+    check_silent_removal(deployment, journal, &requests);
 }
 
 /// A backend server whose entry ends without a word gets nothing more, although the store has just been away and
 /// configurations keep coming.
-fn check_silent_end(deployment: &Deployment, journal: &Journal, calls: &[Call]) {
-    let left = journal.left();
-    let is_there = |id: &&str| !left.iter().any(|other| other == id);
+fn check_silent_removal(deployment: &Deployment, journal: &Journal, requests: &[Request]) {
+    let departed_servers = journal.departed_servers();
+    let is_present = |id: &&str| !departed_servers.iter().any(|other| other == id);
     let desks =
         deployment.servers.iter().map(|server| &*server.id).filter(|id| id.starts_with('d'));
-    let [last, _, ..] = desks.rev().filter(is_there).collect::<Vec<&str>>()[..] else {
+    let [last, _, ..] = desks.rev().filter(is_present).collect::<Vec<&str>>()[..] else {
         return;
     };
-    let counts = || deployment.instances.iter().map(|instance| doubt::believed(instance, last));
+    let counts = || {
+        deployment
+            .instances
+            .iter()
+            .map(|instance| uncertain_removals::removals_accepted(instance, last))
+    };
     let before: Vec<usize> = counts().collect();
-    last_outage(deployment);
+    outage_for_all(deployment);
     deployment.store.remove("keyed.servers", last);
     let mut version = journal.newest_version();
-    let configuration = |version| scalable(version, &promise::route(version));
+    let configuration = |version| scaling_configuration(version, &journal::route(version));
     let what = "an end without a word is believed";
-    doubt::wait_amid_configurations(deployment, &mut version, configuration, what, || {
-        counts().zip(&before).all(|(now, before)| now > *before)
-    });
-    journal.leaves(last);
-    check_left(deployment, journal, calls);
+    uncertain_removals::wait_while_reconfiguring(
+        deployment,
+        &mut version,
+        configuration,
+        what,
+        || counts().zip(&before).all(|(now, before)| now > *before),
+    );
+    journal.record_departure(last);
+    check_departed(deployment, journal, requests);
 }
 
 /// The store is away for all until each instance knows.
-fn last_outage(deployment: &Deployment) {
-    let outages = |instance: &Instance| instance.lines().matches("what is in force stays").count();
+fn outage_for_all(deployment: &Deployment) {
+    let outages = |instance: &Instance| instance.log().matches("what is in force stays").count();
     let before: Vec<usize> = deployment.instances.iter().map(outages).collect();
     for instance in &deployment.instances {
-        instance.door.set_outage(Outage::Reset);
+        instance.store_endpoint.set_outage(Outage::Reset);
     }
     for (instance, before) in deployment.instances.iter().zip(before) {
         wait_for("the last outage is known", || outages(instance) > before);
     }
     for instance in &deployment.instances {
-        instance.door.set_outage(Outage::None);
+        instance.store_endpoint.set_outage(Outage::None);
     }
 }
 
 /// Backend servers that left get nothing of what instances are sent from now on.
-fn check_left(deployment: &Deployment, journal: &Journal, calls: &[Call]) {
+fn check_departed(deployment: &Deployment, journal: &Journal, requests: &[Request]) {
     let runs = |id: &String| deployment.server(id).runs().len();
-    let left = journal.left();
-    let before: Vec<usize> = left.iter().map(runs).collect();
+    let departed_servers = journal.departed_servers();
+    let before: Vec<usize> = departed_servers.iter().map(runs).collect();
     for at in 0..deployment.instances.len() {
-        for call in calls.iter().chain(calls) {
-            let _ = deployment.call(at, &call.anew());
+        for request in requests.iter().chain(requests) {
+            let _ = deployment.send(at, &request.with_new_id());
         }
     }
-    let after: Vec<usize> = left.iter().map(runs).collect();
-    assert_eq!(before, after, "backend servers that left got requests: {left:?}");
+    let after: Vec<usize> = departed_servers.iter().map(runs).collect();
+    assert_eq!(before, after, "backend servers that left got requests: {departed_servers:?}");
 }
--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -10,19 +10,19 @@
 };
 use rand::{RngExt, rngs::StdRng};
 
-use super::promise::Journal;
+use super::journal::Journal;
 
 /// Limits that a server may name, some of them none that can be read.
 const LIMITS: [&str; 9] = ["0", "0.2", "1.4", "5", "20", "1000", "abc", "NaN", "1e30"];
 /// Rests for which it may ask, some of them none that can be read.
 const RESTS: [&str; 5] = ["0", "0.25", "1.5", "3", "soon"];
 /// Within this after a limit is first named it is to be kept.
-const KEPT_WITHIN: Duration = Duration::from_secs(3);
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
 /// Within this after an instance was told that a server leaves it is to send nothing more there.
-const LEFT_WITHIN: Duration = Duration::from_secs(2);
+const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
 /// Draws what a server says of itself. A rest is asked for only by one that turns requests away.
-pub fn draw(random: &mut StdRng) -> Notice {
+pub fn random_notice(random: &mut StdRng) -> Notice {
     let limit = LIMITS[random.random_range(0..LIMITS.len())];
     let rest = RESTS[random.random_range(0..RESTS.len())];
     match random.random_range(0..3) {
@@ -34,31 +34,32 @@
 
 /// The promises on what servers say that were broken. A process that was killed, paused or cut off from others since it
 /// was told counts as another one, which was not.
-pub fn broken(servers: &[Server], journal: &Journal) -> Vec<String> {
+pub fn violations(servers: &[Server], journal: &Journal) -> Vec<String> {
     let sender = |arrival: &Arrival| journal.sender(&arrival.id, arrival.at);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for server in servers {
         let arrivals = server.arrivals();
-        let late = requests_after_leaving(&arrivals, sender, LEFT_WITHIN);
+        let late = requests_after_leaving(&arrivals, sender, LEAVING_GRACE);
         if late > 0 {
-            broken.push(format!(
+            violations.push(format!(
                 "{} got {late} requests though it had said that it leaves",
                 server.id
             ));
         }
         let within = max_requests_during_rest(&arrivals, sender);
         if within > MAX_REQUESTS_DURING_REST {
-            broken.push(format!("{} got {within} requests of one instance in a rest", server.id));
+            violations
+                .push(format!("{} got {within} requests of one instance in a rest", server.id));
         }
-        broken.extend(limits(server).into_iter().filter_map(|(rate, since, until)| {
+        violations.extend(limits(server).into_iter().filter_map(|(rate, since, until)| {
             let within = |arrival: &&Arrival| arrival.at >= since && arrival.at < until;
             let arrivals: Vec<Arrival> = arrivals.iter().filter(within).cloned().collect();
-            let over = over_limit(&arrivals, sender, (rate, KEPT_WITHIN));
+            let over = over_limit(&arrivals, sender, (rate, LIMIT_GRACE));
             (over > 0.0)
                 .then(|| format!("{} got {over} more than {rate} a second allow", server.id))
         }));
     }
-    broken
+    violations
 }
 
 /// The limits that a server named and that can be read, each with when it did.
--- a/crates/drumusher/tests/routes/streams.rs
+++ b/crates/drumusher/tests/routes/streams.rs
@@ -9,44 +9,44 @@
 use drumusher_bench::fleet::wait_for;
 use rstest::rstest;
 
-use crate::support::{Call, Deployment, configuration, read};
+use crate::support::{Deployment, Request, configuration, read_response};
 
 /// A stream that may be resumed goes on elsewhere after its last whole event, in the same answer.
 #[test]
-fn a_resumable_stream_goes_on_elsewhere() {
+fn resumable_stream_continues_on_another_server() {
     let deployment = Deployment::new(1);
     deployment.server("m1").set(Fault::CutStream);
     let mut resumed = 0;
     for _ in 0..8 {
-        let call = Call::post("/talk/", "x");
-        let answer = deployment.call(0, &call).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, events(&call.id)));
-        assert!(answer.whole);
-        resumed += usize::from(deployment.runs(&call.id) == 2);
+        let request = Request::post("/talk/", "x");
+        let response = deployment.send(0, &request).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, events(&request.id)));
+        assert!(response.complete);
+        resumed += usize::from(deployment.runs(&request.id) == 2);
     }
     assert!(resumed > 0, "some began at the server that breaks");
 }
 
 /// One that may not be resumed is cut: whole events only, no end, and not run again.
 #[test]
-fn another_stream_is_cut_and_does_not_look_whole() {
+fn non_resumable_stream_is_cut_without_an_end() {
     let deployment = Deployment::new(1);
     for id in ["m1", "m2"] {
         deployment.server(id).set(Fault::CutStreamLater);
     }
-    let call = Call::post("/draft/", "x");
+    let request = Request::post("/draft/", "x");
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&call.bytes()).expect("sent");
+    conn.write_all(&request.bytes()).expect("sent");
     let mut first = vec![0; 4_096];
     let count = conn.peek(&mut first).expect("the beginning");
     assert!(count > 0);
     for id in ["m1", "m2"] {
         deployment.server(id).set(Fault::None);
     }
-    let answer = read(&mut conn).expect("an answer");
-    assert_eq!((answer.status, answer.whole), (200, false));
-    assert_eq!(answer.text(), event(&call.id, 1));
-    assert_eq!(deployment.runs(&call.id), 1);
+    let response = read_response(&mut conn).expect("an answer");
+    assert_eq!((response.status, response.complete), (200, false));
+    assert_eq!(response.text(), event(&request.id, 1));
+    assert_eq!(deployment.runs(&request.id), 1);
 }
 
 /// Before its first event a stream that may not be resumed ends with a clear answer.
@@ -54,60 +54,67 @@
 #[case(Fault::Reset, 502)]
 #[case(Fault::Hang, 504)]
 #[case(Fault::Overloaded, 503)]
-fn a_stream_that_never_began_has_a_clear_answer(#[case] fault: Fault, #[case] status: u16) {
+fn stream_that_fails_before_its_first_event_gets_an_error(
+    #[case] fault: Fault,
+    #[case] status: u16,
+) {
     let deployment = Deployment::new(1);
     deployment.server("m1").set(fault);
     deployment.server("m2").set(fault);
-    let answer = deployment.call(0, &Call::post("/draft/", "x")).expect("an answer");
-    assert_eq!(answer.status, status);
-    assert!(answer.whole);
+    let response = deployment.send(0, &Request::post("/draft/", "x")).expect("an answer");
+    assert_eq!(response.status, status);
+    assert!(response.complete);
 }
 
 /// A server that says nothing is left for another one where the stream may be resumed.
 #[test]
-fn a_silent_server_is_left() {
+fn resumable_stream_moves_off_a_silent_server() {
     let deployment = Deployment::new(1);
     deployment.server("m1").set(Fault::Hang);
     for _ in 0..3 {
-        let call = Call::post("/talk/", "x");
-        let answer = deployment.call(0, &call).expect("an answer");
-        assert_eq!((answer.status, answer.text()), (200, events(&call.id)));
+        let request = Request::post("/talk/", "x");
+        let response = deployment.send(0, &request).expect("an answer");
+        assert_eq!((response.status, response.text()), (200, events(&request.id)));
     }
 }
 
 /// One that has a long prompt to read is given the time that its dispatcher expects it to take.
 #[test]
-fn a_server_that_reads_a_long_prompt_is_not_left() {
+fn long_prompt_gets_its_expected_time() {
     let deployment = Deployment::new(1);
     for id in ["m1", "m2"] {
         deployment.server(id).set(Fault::Slow);
     }
-    let call = Call::post("/talk/", "x")
+    let request = Request::post("/talk/", "x")
         .without("Drumusher-Token-Usage")
         .without("Drumusher-Prompt-Prefix")
         .with("Drumusher-Token-Usage", "200000,60")
         .with("Drumusher-Prompt-Prefix", "a7:200000");
-    let answer = deployment.call(0, &call).expect("an answer");
-    assert_eq!((answer.status, answer.text()), (200, events(&call.id)));
-    assert_eq!(deployment.runs(&call.id), 1, "twice the target passed, but not what is expected");
+    let response = deployment.send(0, &request).expect("an answer");
+    assert_eq!((response.status, response.text()), (200, events(&request.id)));
+    assert_eq!(
+        deployment.runs(&request.id),
+        1,
+        "twice the target passed, but not what is expected"
+    );
 }
 
 /// A caller that resumes a stream by itself gets the rest only.
 #[test]
-fn a_caller_may_resume_by_itself() {
+fn caller_can_resume_with_last_event_id() {
     let deployment = Deployment::new(1);
-    let call = Call::post("/talk/", "x").with("Last-Event-Id", "5");
-    let answer = deployment.call(0, &call).expect("an answer");
-    let rest: String = (6..=12).map(|number| event(&call.id, number)).collect();
-    assert_eq!((answer.status, answer.text()), (200, rest));
+    let request = Request::post("/talk/", "x").with("Last-Event-Id", "5");
+    let response = deployment.send(0, &request).expect("an answer");
+    let rest: String = (6..=12).map(|number| event(&request.id, number)).collect();
+    assert_eq!((response.status, response.text()), (200, rest));
 }
 
 /// A caller that leaves in the middle of a stream frees the engine.
 #[test]
-fn a_caller_that_leaves_frees_the_engine() {
+fn caller_disconnect_frees_the_engine() {
     let deployment = Deployment::new(1);
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&Call::post("/draft/", "x").bytes()).expect("sent");
+    conn.write_all(&Request::post("/draft/", "x").bytes()).expect("sent");
     let mut piece = [0; 64];
     assert!(conn.read(&mut piece).expect("the first events") > 0);
     drop(conn);
@@ -119,11 +126,11 @@
 
 /// An engine that gets a prompt of which a busy one keeps the beginning is told where to copy it.
 #[test]
-fn a_busy_server_is_named_as_the_source_of_what_it_keeps() {
+fn busy_server_is_named_as_cache_source() {
     let deployment = Deployment::new(1);
     let servers = ["m1", "m2"].map(|id| deployment.server(id));
     let prompt = |shared: u32, tokens: u32, own: u32| {
-        Call::post("/draft/", "x")
+        Request::post("/draft/", "x")
             .without("Drumusher-Token-Usage")
             .without("Drumusher-Prompt-Prefix")
             .with("Drumusher-Token-Usage", &format!("{},60", tokens + own))
@@ -131,7 +138,7 @@
     };
     let named = (1..50).find_map(|shared| {
         let first = prompt(shared, 9_000, 1);
-        deployment.call(0, &first).expect("an answer");
+        deployment.send(0, &first).expect("an answer");
         let ran = |id: &str, at: usize| servers[at].runs().iter().any(|run| run.id == id);
         let keeper = usize::from(ran(&first.id, 1));
         // While it is silent over a long prompt, it is believed to read.
@@ -142,7 +149,7 @@
         wait_for("the long prompt is read", || ran(&long.id, keeper));
         let next = prompt(shared, 9_000, 2);
         let runs = servers[1 - keeper].runs().len();
-        drop(deployment.call(0, &next));
+        drop(deployment.send(0, &next));
         servers[keeper].set(Fault::None);
         drop(busy);
         let runs = servers[1 - keeper].runs().split_off(runs);
@@ -155,7 +162,7 @@
 
 /// A dispatcher that begins to place prompts asks each engine once what it keeps, and goes by that.
 #[test]
-fn a_new_dispatcher_asks_engines_what_they_keep() {
+fn new_dispatcher_queries_engine_caches() {
     let deployment = Deployment::unconfigured(1);
     let tokens = 9_000;
     let kept = |server: u64| (0..6).map(move |n| (100 * server + n, tokens)).collect::<Vec<_>>();
@@ -164,19 +171,19 @@
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     deployment.wait_serving();
-    deployment.call(0, &Call::post("/talk/", "x")).expect("an answer");
-    let told = || deployment.instances[0].lines().matches("an engine told what it keeps").count();
-    wait_for("both engines told what they keep", || told() == 2);
+    deployment.send(0, &Request::post("/talk/", "x")).expect("an answer");
+    let logged = || deployment.instances[0].log().matches("an engine told what it keeps").count();
+    wait_for("both engines told what they keep", || logged() == 2);
     for (server, id) in [(1, "m1"), (2, "m2")] {
         for (part, tokens) in kept(server) {
-            let call = Call::post("/talk/", "x")
+            let request = Request::post("/talk/", "x")
                 .without("Drumusher-Token-Usage")
                 .without("Drumusher-Prompt-Prefix")
                 .with("Drumusher-Token-Usage", &format!("{},60", tokens + 1))
                 .with("Drumusher-Prompt-Prefix", &format!("{part:x}:{tokens},f{part:x}:1"));
-            deployment.call(0, &call).expect("an answer");
-            let ran = deployment.server(id).runs().iter().any(|run| run.id == call.id);
-            assert!(ran, "part {part:x} of {id}: {}", deployment.instances[0].lines());
+            deployment.send(0, &request).expect("an answer");
+            let ran = deployment.server(id).runs().iter().any(|run| run.id == request.id);
+            assert!(ran, "part {part:x} of {id}: {}", deployment.instances[0].log());
         }
     }
 }
--- a/crates/drumusher/tests/routes/support.rs
+++ b/crates/drumusher/tests/routes/support.rs
@@ -1,10 +1,10 @@
 //! A deployment on the loopback network: a store, backend servers, instances.
 
-mod answer;
-mod call;
+mod request;
+mod response;
 
-pub use answer::{Answer, read};
-pub use call::Call;
+pub use request::Request;
+pub use response::{Response, read_response};
 
 use std::{
     fs::{self, File},
@@ -31,24 +31,24 @@
 /// Bytes of the path of a route that only makes a configuration large.
 const LARGE_PATH: usize = 480;
 /// Trials to start an instance on free ports.
-const START_TRIALS: usize = 20;
+const MAX_START_ATTEMPTS: usize = 20;
 /// Longest wait for an answer's next byte. Not a bound on speed.
-const LONGEST: Duration = Duration::from_secs(45);
+const READ_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// One instance as a process of its own.
 pub struct Instance {
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub http_address: SocketAddr,
     /// Where the balancer asks it.
-    pub status: SocketAddr,
+    pub status_address: SocketAddr,
     /// Its way to the store.
-    pub door: Endpoint,
+    pub store_endpoint: Endpoint,
     /// What can be done to its connections, if the deployment has relays.
     pub relays: Option<Relays>,
     /// How often it was started.
     pub starts: u32,
     settings: PathBuf,
-    lines: PathBuf,
+    log_file: PathBuf,
     child: Child,
 }
 
@@ -72,9 +72,9 @@
     pub instances: Vec<Instance>,
     /// Longest wait of an instance for a change in one call to the store, in milliseconds.
     pub wait_ms: u64,
-    folder: PathBuf,
-    relayed: bool,
-    kept: bool,
+    dir: PathBuf,
+    with_relays: bool,
+    keep_logs: bool,
 }
 
 /// The configuration of tests, as its operators write it.
@@ -150,21 +150,21 @@
     }
 
     /// A store alone; instances that are added have relays before them if `relayed`.
-    pub fn empty(relayed: bool) -> Self {
+    pub fn empty(with_relays: bool) -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("drumusher-routes-{}-{number}", std::process::id());
-        let folder = std::env::temp_dir().join(name);
-        fs::create_dir_all(&folder).expect("a folder for the test");
+        let dir = std::env::temp_dir().join(name);
+        fs::create_dir_all(&dir).expect("a folder for the test");
         let store = Store::start().expect("the store starts");
         Deployment {
             store,
             servers: Vec::new(),
             instances: Vec::new(),
             wait_ms: 1_500,
-            folder,
-            relayed,
-            kept: false,
+            dir,
+            with_relays,
+            keep_logs: false,
         }
     }
 
@@ -177,37 +177,45 @@
 
     /// Starts an instance.
     pub fn add_instance(&mut self, name: &str) {
-        let door = self.store.endpoint().expect("a way to the store");
-        self.add_instance_with(name, door, "");
+        let store_endpoint = self.store.endpoint().expect("a way to the store");
+        self.add_instance_with(name, store_endpoint, "");
     }
 
     /// Starts an instance that has this way to the store and some more settings.
-    pub fn add_instance_with(&mut self, name: &str, door: Endpoint, more: &str) {
-        let ip = own_ip();
-        let lines = self.folder.join(format!("{name}.log"));
+    pub fn add_instance_with(
+        &mut self,
+        name: &str,
+        store_endpoint: Endpoint,
+        extra_settings: &str,
+    ) {
+        let ip = next_loopback_ip();
+        let log_file = self.dir.join(format!("{name}.log"));
         // Between the choice of a port and its use another process may take it for a moment.
-        let settings = self.folder.join(format!("{name}.toml"));
-        let started = (0..START_TRIALS).find_map(|_| {
+        let settings = self.dir.join(format!("{name}.toml"));
+        let started = (0..MAX_START_ATTEMPTS).find_map(|_| {
             let [callers, status, peer] = free_ports(&ip);
-            let relays = self.relayed.then(|| Relays::new(callers, peer, door.address));
-            let store = relays.as_ref().map_or(door.address, |relays| relays.store.address());
+            let relays =
+                self.with_relays.then(|| Relays::new(callers, peer, store_endpoint.address));
+            let store =
+                relays.as_ref().map_or(store_endpoint.address, |relays| relays.store.address());
             let advertise = relays.as_ref().map_or(peer, |relays| relays.peers.address());
-            let text = settings_text(name, [callers, status, peer], advertise, store);
-            let text = format!("{text}wait_ms = {}\n{REST}{more}", self.wait_ms);
+            let text = instance_settings(name, [callers, status, peer], advertise, store);
+            let text =
+                format!("{text}wait_ms = {}\n{COMMON_SETTINGS}{extra_settings}", self.wait_ms);
             fs::write(&settings, text).expect("the settings are written");
-            let child = start(&settings, &lines, status)?;
+            let child = start(&settings, &log_file, status)?;
             Some((callers, status, relays, child))
         });
         let (callers, status, relays, child) = started.expect("the instance starts");
         let starts = 1;
         self.instances.push(Instance {
-            callers,
-            status,
-            door,
+            http_address: callers,
+            status_address: status,
+            store_endpoint,
             relays,
             starts,
             settings,
-            lines,
+            log_file,
             child,
         });
     }
@@ -218,7 +226,7 @@
             wait_for("the instance is ready", || self.instances[at].ready());
             for path in ["/read/", "/talk/"] {
                 wait_for("the instance serves", || {
-                    self.call(at, &Call::get(path)).is_ok_and(|answer| answer.status == 200)
+                    self.send(at, &Request::get(path)).is_ok_and(|response| response.status == 200)
                 });
             }
         }
@@ -240,16 +248,16 @@
     /// # Errors
     ///
     /// Any error before the answer's head.
-    pub fn call(&self, instance: usize, call: &Call) -> io::Result<Answer> {
+    pub fn send(&self, instance: usize, request: &Request) -> io::Result<Response> {
         let mut conn = self.connect(instance)?;
-        conn.write_all(&call.bytes())?;
-        read(&mut conn)
+        conn.write_all(&request.bytes())?;
+        read_response(&mut conn)
     }
 
     /// Keeps the folder with the log lines when the deployment is dropped, and tells where it is.
-    pub fn keep(&mut self) {
-        self.kept = true;
-        println!("  log lines are kept in {}", self.folder.display());
+    pub fn keep_logs(&mut self) {
+        self.keep_logs = true;
+        println!("  log lines are kept in {}", self.dir.display());
     }
 
     /// The settings file of an instance.
@@ -263,8 +271,8 @@
     ///
     /// Any error of the operating system.
     pub fn connect(&self, instance: usize) -> io::Result<TcpStream> {
-        let conn = TcpStream::connect(self.instances[instance].callers)?;
-        conn.set_read_timeout(Some(LONGEST))?;
+        let conn = TcpStream::connect(self.instances[instance].http_address)?;
+        conn.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(conn)
     }
 }
@@ -283,8 +291,8 @@
             let _ = instance.child.kill();
             let _ = instance.child.wait();
         }
-        if !std::thread::panicking() && !self.kept {
-            let _ = fs::remove_dir_all(&self.folder);
+        if !std::thread::panicking() && !self.keep_logs {
+            let _ = fs::remove_dir_all(&self.dir);
         }
     }
 }
@@ -292,12 +300,15 @@
 impl Instance {
     /// What the balancer is told.
     pub fn ready(&self) -> bool {
-        status(self.status, "/drumusher/readiness").is_some_and(|answer| answer.status == 200)
+        get_status(self.status_address, "/drumusher/readiness")
+            .is_some_and(|response| response.status == 200)
     }
 
     /// Its metrics.
     pub fn metrics(&self) -> String {
-        status(self.status, "/metrics").map(|answer| answer.text()).unwrap_or_default()
+        get_status(self.status_address, "/metrics")
+            .map(|response| response.text())
+            .unwrap_or_default()
     }
 
     /// The value of its metric whose name and labels contain these words; none yet is zero.
@@ -323,21 +334,21 @@
     /// Starts it again at its addresses, after its process ended.
     pub fn restart(&mut self) {
         self.starts += 1;
-        let started =
-            (0..START_TRIALS).find_map(|_| start(&self.settings, &self.lines, self.status));
+        let started = (0..MAX_START_ATTEMPTS)
+            .find_map(|_| start(&self.settings, &self.log_file, self.status_address));
         self.child = started.expect("the instance starts again");
     }
 
     /// The log lines written so far.
-    pub fn lines(&self) -> String {
-        fs::read_to_string(&self.lines).unwrap_or_default()
+    pub fn log(&self) -> String {
+        fs::read_to_string(&self.log_file).unwrap_or_default()
     }
 }
 
 /// What an instance answers an operator.
-pub fn ask(instance: &Instance, statement: &str) -> String {
+pub fn operator_query(instance: &Instance, statement: &str) -> String {
     let asked = Command::new(env!("CARGO_BIN_EXE_drumusher"))
-        .args(["ask", "-a", &instance.status.to_string(), "-k", "test", statement])
+        .args(["ask", "-a", &instance.status_address.to_string(), "-k", "test", statement])
         .output();
     let output = asked.expect("the program runs");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -345,10 +356,11 @@
 }
 
 /// The settings that are the same for all instances.
-const REST: &str = "[stop]\naccept_ms = 300\nlongest_seconds = 8\n[telemetry]\nsample_every = 0\n";
+const COMMON_SETTINGS: &str =
+    "[stop]\naccept_ms = 300\nlongest_seconds = 8\n[telemetry]\nsample_every = 0\n";
 
 /// The settings of an instance that listens for callers, the balancer and other instances.
-fn settings_text(
+fn instance_settings(
     name: &str,
     [callers, status, peer]: [SocketAddr; 3],
     advertise: SocketAddr,
@@ -364,7 +376,7 @@
 }
 
 /// An address of the loopback network for one instance of this process.
-fn own_ip() -> String {
+fn next_loopback_ip() -> String {
     static INSTANCE: AtomicU32 = AtomicU32::new(0);
     let at = INSTANCE.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
@@ -380,10 +392,11 @@
 
 /// Starts an instance and waits until it listens on all its ports; `None` if it ended instead. That one of them
 /// takes connections does not show it: another process may have taken the next one.
-fn start(settings: &Path, lines: &Path, status: SocketAddr) -> Option<Child> {
-    let starts = || fs::read_to_string(lines).unwrap_or_default().matches(LISTENS).count();
+fn start(settings: &Path, log_file: &Path, status: SocketAddr) -> Option<Child> {
+    let starts =
+        || fs::read_to_string(log_file).unwrap_or_default().matches(LISTENING_MARKER).count();
     let before = starts();
-    let mut child = spawn(settings, lines);
+    let mut child = spawn(settings, log_file);
     let mut ended = false;
     wait_for("the instance listens or ends", || {
         ended = child.try_wait().expect("its state").is_some();
@@ -393,11 +406,11 @@
 }
 
 /// In the line of an instance that listens on all its ports.
-const LISTENS: &str = " serves ";
+const LISTENING_MARKER: &str = " serves ";
 
 /// Starts an instance whose log lines are added to a file.
-fn spawn(settings: &Path, lines: &Path) -> Child {
-    let file = File::options().create(true).append(true).open(lines);
+fn spawn(settings: &Path, log_file: &Path) -> Child {
+    let file = File::options().create(true).append(true).open(log_file);
     let file = file.expect("a file for log lines");
     Command::new(env!("CARGO_BIN_EXE_drumusher"))
         .arg("serve")
@@ -410,10 +423,10 @@
 }
 
 /// Asks where the balancer asks; `None` if no answer begins.
-fn status(address: SocketAddr, path: &str) -> Option<Answer> {
+fn get_status(address: SocketAddr, path: &str) -> Option<Response> {
     let mut conn = TcpStream::connect(address).ok()?;
-    conn.set_read_timeout(Some(LONGEST)).ok()?;
+    conn.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let head = format!("GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     conn.write_all(head.as_bytes()).ok()?;
-    read(&mut conn).ok()
+    read_response(&mut conn).ok()
 }
--- a/crates/drumusher/tests/routes/support/call.rs
+++ b/crates/drumusher/tests/routes/support/request.rs
@@ -6,7 +6,7 @@
 
 /// A caller's request.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Request {
     /// The method.
     pub method: &'static str,
     /// Path and query.
@@ -19,12 +19,12 @@
     pub body: String,
 }
 
-impl Call {
+impl Request {
     /// A GET; a stream's path asks for a stream.
-    pub fn get(path: &str) -> Call {
+    pub fn get(path: &str) -> Request {
         static NUMBER: AtomicU32 = AtomicU32::new(1);
         let id = format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed));
-        let mut call = Call {
+        let mut request = Request {
             method: "GET",
             path: path.into(),
             id,
@@ -32,32 +32,32 @@
             body: String::new(),
         };
         if path.starts_with("/draft/") || path.starts_with("/talk/") {
-            call = call
+            request = request
                 .with("Drumusher-Token-Usage", "600,60")
                 .with("Drumusher-Prompt-Prefix", "a1:200,b2:300,c3:100")
                 .with("Drumusher-Model", "m");
         }
-        call
+        request
     }
 
     /// A POST with a body.
-    pub fn post(path: &str, body: &str) -> Call {
-        Call { method: "POST", body: body.into(), ..Call::get(path) }
+    pub fn post(path: &str, body: &str) -> Request {
+        Request { method: "POST", body: body.into(), ..Request::get(path) }
     }
 
     /// The same request once more, with an identity of its own.
-    pub fn anew(&self) -> Call {
-        Call { id: Call::get(&self.path).id, ..self.clone() }
+    pub fn with_new_id(&self) -> Request {
+        Request { id: Request::get(&self.path).id, ..self.clone() }
     }
 
     /// Adds a header.
-    pub fn with(mut self, name: &str, value: &str) -> Call {
+    pub fn with(mut self, name: &str, value: &str) -> Request {
         self.headers.push((name.into(), value.into()));
         self
     }
 
     /// Leaves a header out.
-    pub fn without(mut self, name: &str) -> Call {
+    pub fn without(mut self, name: &str) -> Request {
         self.headers.retain(|(n, _)| !n.eq_ignore_ascii_case(name));
         self
     }
--- a/crates/drumusher/tests/routes/support/answer.rs
+++ b/crates/drumusher/tests/routes/support/response.rs
@@ -7,7 +7,7 @@
 
 /// An answer as a caller sees it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: u16,
     /// Headers, names in lower case.
@@ -15,10 +15,10 @@
     /// The body, as far as it came.
     pub body: Vec<u8>,
     /// Whether it came whole.
-    pub whole: bool,
+    pub complete: bool,
 }
 
-impl Answer {
+impl Response {
     /// The first header of a name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
@@ -35,16 +35,16 @@
 /// # Errors
 ///
 /// Any error before its head.
-pub fn read(conn: &mut TcpStream) -> io::Result<Answer> {
+pub fn read_response(conn: &mut TcpStream) -> io::Result<Response> {
     let mut bytes = Vec::new();
-    let mut piece = [0; 4_096];
+    let mut buffer = [0; 4_096];
     let length = loop {
         if let Some(at) = find(&bytes, b"\r\n\r\n") {
             break at + 4;
         }
-        match conn.read(&mut piece)? {
+        match conn.read(&mut buffer)? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            count => bytes.extend_from_slice(&piece[..count]),
+            count => bytes.extend_from_slice(&buffer[..count]),
         }
     };
     let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
@@ -54,28 +54,28 @@
     let fields = lines.filter_map(|line| line.split_once(':'));
     let headers: Vec<(String, String)> =
         fields.map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_string())).collect();
-    let mut answer = Answer { status, headers, body: Vec::new(), whole: false };
+    let mut response = Response { status, headers, body: Vec::new(), complete: false };
     let mut rest = bytes.split_off(length);
-    let chunked = answer.header("transfer-encoding") == Some("chunked");
-    let sized = answer.header("content-length").and_then(|text| text.parse::<usize>().ok());
+    let chunked = response.header("transfer-encoding") == Some("chunked");
+    let sized = response.header("content-length").and_then(|text| text.parse::<usize>().ok());
     loop {
-        (answer.body, answer.whole) = match (chunked, sized) {
-            (true, _) => unchunk(&rest),
+        (response.body, response.complete) = match (chunked, sized) {
+            (true, _) => decode_chunked(&rest),
             (_, Some(size)) => (rest[..size.min(rest.len())].to_vec(), rest.len() >= size),
             (_, None) => (rest.clone(), false),
         };
-        if answer.whole {
-            return Ok(answer);
+        if response.complete {
+            return Ok(response);
         }
-        match conn.read(&mut piece) {
-            Ok(0) | Err(_) => return Ok(answer),
-            Ok(count) => rest.extend_from_slice(&piece[..count]),
+        match conn.read(&mut buffer) {
+            Ok(0) | Err(_) => return Ok(response),
+            Ok(count) => rest.extend_from_slice(&buffer[..count]),
         }
     }
 }
 
 /// The body of chunks so far, and whether the last one is there.
-fn unchunk(mut bytes: &[u8]) -> (Vec<u8>, bool) {
+fn decode_chunked(mut bytes: &[u8]) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     loop {
         let Some(end) = find(bytes, b"\r\n") else { return (body, false) };
--- a/crates/drumusher/tests/routes/transfer.rs
+++ b/crates/drumusher/tests/routes/transfer.rs
@@ -23,17 +23,17 @@
 use crate::support::{Deployment, Instance, configuration, large_configuration};
 
 /// Bytes of the configuration, as with some thousands of routes.
-const BYTES: usize = 1_000_000;
+const CONFIGURATION_BYTES: usize = 1_000_000;
 /// Bytes a second of a link on which it takes four seconds: five times as long as instances bear silence.
-const RATE: u64 = BYTES as u64 / 4;
+const LINK_BYTES_PER_SECOND: u64 = CONFIGURATION_BYTES as u64 / 4;
 
 /// Instances before a store, with relays before each, that have the first configuration.
 fn deployment(instances: usize) -> Deployment {
     let mut deployment = Deployment::empty(true);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     for number in 0..instances {
-        let door = deployment.store.endpoint().expect("a way to the store");
-        deployment.add_instance_with(&format!("i{number}"), door, "");
+        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        deployment.add_instance_with(&format!("i{number}"), store_endpoint, "");
     }
     for instance in &deployment.instances {
         wait_for("it is ready", || instance.ready());
@@ -45,18 +45,18 @@
     deployment
 }
 
-fn set(instance: &Instance, mode: Mode) {
+fn set_peer_relay(instance: &Instance, mode: Mode) {
     instance.relays.as_ref().expect("there are relays").peers.set(mode);
 }
 
-fn has(instance: &Instance, version: u64) -> bool {
+fn has_version(instance: &Instance, version: u64) -> bool {
     let text = format!("\"version\":\"{version}\"");
-    let lines = instance.lines();
+    let lines = instance.log();
     lines.lines().any(|line| line.contains("configuration in force") && line.contains(&text))
 }
 
-fn reads(instance: &Instance) -> bool {
-    let lines = instance.lines();
+fn reads_store(instance: &Instance) -> bool {
+    let lines = instance.log();
     let last = lines.lines().rev().find(|line| line.contains("reads the store for others"));
     last.is_some_and(|line| line.contains("\"reads\":\"true\""))
 }
@@ -64,37 +64,41 @@
 /// An instance that is cut off from the store gets a configuration from another one, although it takes
 /// far longer than a connection may be silent.
 #[test]
-fn a_large_configuration_arrives_over_a_narrow_link() {
+fn large_configuration_arrives_over_a_slow_peer_link() {
     let deployment = deployment(2);
     let cut_off = &deployment.instances[1];
     cut_off.relays.as_ref().expect("there are relays").store.cut(true);
     for instance in &deployment.instances {
-        set(instance, Mode::Narrow(RATE));
+        set_peer_relay(instance, Mode::Narrow(LINK_BYTES_PER_SECOND));
     }
-    deployment.store.put("keyed.op", "config", &large_configuration(2, "extra", BYTES));
-    wait_for("the other one has it", || has(&deployment.instances[0], 2));
-    wait_for("the one that is cut off has it", || has(cut_off, 2));
+    deployment.store.put(
+        "keyed.op",
+        "config",
+        &large_configuration(2, "extra", CONFIGURATION_BYTES),
+    );
+    wait_for("the other one has it", || has_version(&deployment.instances[0], 2));
+    wait_for("the one that is cut off has it", || has_version(cut_off, 2));
 }
 
 /// Instances that do not read the store get a large configuration about once, not once from each of the
 /// others that have it and again after each connection that broke meanwhile.
 #[test]
-fn a_large_configuration_is_carried_once() {
+fn large_configuration_is_sent_once() {
     let deployment = deployment(7);
-    let readers = || deployment.instances.iter().filter(|instance| reads(instance)).count();
+    let readers = || deployment.instances.iter().filter(|instance| reads_store(instance)).count();
     wait_for("four instances read the store", || readers() == 4);
     for instance in &deployment.instances {
-        set(instance, Mode::Narrow(2 * RATE));
+        set_peer_relay(instance, Mode::Narrow(2 * LINK_BYTES_PER_SECOND));
     }
     let bytes = || {
         let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
         relays.map(|relays| relays.peers.bytes()).sum::<u64>()
     };
-    let text = large_configuration(2, "extra", BYTES);
+    let text = large_configuration(2, "extra", CONFIGURATION_BYTES);
     let before = bytes();
     deployment.store.put("keyed.op", "config", &text);
     for instance in &deployment.instances {
-        wait_for("it has the configuration", || has(instance, 2));
+        wait_for("it has the configuration", || has_version(instance, 2));
     }
     let carried = bytes() - before;
     let most = 3 * text.len() as u64 * 3 / 2;
@@ -105,11 +109,20 @@
 /// however long it is. Its first part was waited for like its last one, 700 ms in all, so that an instance on
 /// a narrow link took the store for away and began the same call again.
 #[test]
-fn a_large_configuration_is_read_over_a_narrow_link() {
+fn large_configuration_is_read_over_a_slow_store_link() {
     let deployment = deployment(1);
     let instance = &deployment.instances[0];
-    instance.relays.as_ref().expect("there are relays").store.set(Mode::Narrow(RATE));
-    deployment.store.put("keyed.op", "config", &large_configuration(2, "extra", BYTES));
-    wait_for("it has the configuration", || has(instance, 2));
-    assert!(!instance.lines().contains("what is in force stays"), "the store was never away");
+    instance
+        .relays
+        .as_ref()
+        .expect("there are relays")
+        .store
+        .set(Mode::Narrow(LINK_BYTES_PER_SECOND));
+    deployment.store.put(
+        "keyed.op",
+        "config",
+        &large_configuration(2, "extra", CONFIGURATION_BYTES),
+    );
+    wait_for("it has the configuration", || has_version(instance, 2));
+    assert!(!instance.log().contains("what is in force stays"), "the store was never away");
 }
