--- a/crates/drumusher/tests/routes/main.rs
+++ b/crates/drumusher/tests/routes/main.rs
@@ -1,5 +1,5 @@
-//! Tests of requests along routes, on separate processes: instances and, on threads of the test,
-//! stand-ins of the users' platform.
+//! Tests of request routing against instances that run as separate processes. The store, the backend
+//! servers and the rest of the users' platform are stand-ins on threads of the test process.
 
 mod backend_faults;
 mod config;
--- a/crates/drumusher/tests/routes/support.rs
+++ b/crates/drumusher/tests/routes/support.rs
@@ -1,4 +1,4 @@
-//! A deployment on the loopback network: a store, backend servers, instances.
+//! A deployment on the loopback network: a store, backend servers and instances.
 
 mod request;
 mod response;
@@ -19,50 +19,51 @@
 use drumusher_adapter_stand_in::{Server, Store, store::Endpoint};
 use drumusher_bench::fleet::{Relay, wait_for};
 
-/// The service of plain requests.
+/// The service that handles plain requests.
 pub const DESK: &str = "desk";
-/// The service of streams.
+/// The service that handles streams.
 pub const MODEL: &str = "model";
-/// A key of workspace `vanua`.
+/// An API key of workspace `vanua`.
 pub const KEY: &str = "key-of-vanua";
-/// Settings with an operator whose key is `test`.
+/// Settings with one operator, whose key is `test`.
 pub const OPERATOR: &str = "[operators]\n\
     desk = \"9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08\"\n";
-/// Bytes of the path of a route that only makes a configuration large.
+/// Minimum path length, in bytes, of the filler routes of a large configuration.
 const LARGE_PATH: usize = 480;
-/// Trials to start an instance on free ports.
+/// Attempts to start an instance on free ports.
 const MAX_START_ATTEMPTS: usize = 20;
-/// Longest wait for an answer's next byte. Not a bound on speed.
+/// Longest wait for the next byte of a response. Only keeps a test from hanging; it is no performance
+/// bound.
 const READ_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// One instance as a process of its own.
+/// An instance that runs as a separate process.
 pub struct Instance {
-    /// Where callers reach it.
+    /// The address for requests of callers.
     pub http_address: SocketAddr,
-    /// Where the balancer asks it.
+    /// The address for readiness, metrics and operator queries.
     pub status_address: SocketAddr,
-    /// Its way to the store.
+    /// The store endpoint that only this instance uses, so that a test can fail it alone.
     pub store_endpoint: Endpoint,
-    /// What can be done to its connections, if the deployment has relays.
+    /// The relays in front of its connections, if the deployment has relays.
     pub relays: Option<Relays>,
-    /// How often it was started.
+    /// Number of times that its process was started.
     pub starts: u32,
     settings: PathBuf,
     log_file: PathBuf,
     child: Child,
 }
 
-/// Relays before an instance, through which faults reach its connections.
+/// Relays through which a test disturbs the connections of an instance.
 pub struct Relays {
-    /// From callers.
+    /// Connections from callers.
     pub callers: Relay,
-    /// From other instances.
+    /// Connections from other instances.
     pub peers: Relay,
-    /// To the store.
+    /// Connections to the store.
     pub store: Relay,
 }
 
-/// A store, backend servers and instances. Dropped, its instances are killed.
+/// A store, backend servers and instances. Dropping it kills the instances.
 pub struct Deployment {
     /// The store.
     pub store: Store,
@@ -70,14 +71,15 @@
     pub servers: Vec<Server>,
     /// The instances.
     pub instances: Vec<Instance>,
-    /// Longest wait of an instance for a change in one call to the store, in milliseconds.
+    /// How long one store call of an instance waits for a change, in milliseconds.
     pub wait_ms: u64,
     dir: PathBuf,
     with_relays: bool,
     keep_logs: bool,
 }
 
-/// The configuration of tests, as its operators write it.
+/// The configuration of the tests, in the form in which operators write it. `extra` adds a route of that
+/// name unless it is empty.
 pub fn configuration(version: u64, extra: &str) -> String {
     let route = |name: &str, kind: &str, service: &str, attempts: u32, rest: &str| {
         format!(
@@ -100,7 +102,8 @@
     )
 }
 
-/// The same with so many bytes of routes more, whose paths hardly compress.
+/// The same configuration with about `bytes` more bytes of routes, whose pseudo-random paths hardly
+/// compress.
 pub fn large_configuration(version: u64, extra: &str, bytes: usize) -> String {
     let mut digits = 0x2545_f491_4f6c_dd1d_u64;
     let mut path = || {
@@ -129,7 +132,7 @@
 }
 
 impl Deployment {
-    /// A configured deployment of `instances` instances and two backend servers a service.
+    /// A configured deployment of `instances` instances and two backend servers for each service.
     pub fn new(instances: usize) -> Self {
         let deployment = Deployment::unconfigured(instances);
         deployment.store.put("keyed.op", "config", &configuration(1, ""));
@@ -137,7 +140,7 @@
         deployment
     }
 
-    /// The same before a configuration is written.
+    /// The same deployment before a configuration is written.
     pub fn unconfigured(instances: usize) -> Self {
         let mut deployment = Deployment::empty(false);
         for (id, service) in [("d1", DESK), ("d2", DESK), ("m1", MODEL), ("m2", MODEL)] {
@@ -149,13 +152,13 @@
         deployment
     }
 
-    /// A store alone; instances that are added have relays before them if `relayed`.
+    /// A store without servers and instances. Instances that are added get relays if `with_relays` is set.
     pub fn empty(with_relays: bool) -> Self {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("drumusher-routes-{}-{number}", std::process::id());
         let dir = std::env::temp_dir().join(name);
-        fs::create_dir_all(&dir).expect("a folder for the test");
+        fs::create_dir_all(&dir).expect("the test directory is created");
         let store = Store::start().expect("the store starts");
         Deployment {
             store,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Starts a backend server and enters it in the store.
+    /// Starts a backend server and registers it in the store.
     pub fn add_server(&mut self, id: &str, service: &str) {
         let server = Server::start(id).expect("the server starts");
         self.store.put("keyed.servers", id, &server.entry(service, "ready"));
@@ -177,11 +180,11 @@
 
     /// Starts an instance.
     pub fn add_instance(&mut self, name: &str) {
-        let store_endpoint = self.store.endpoint().expect("a way to the store");
+        let store_endpoint = self.store.endpoint().expect("the store endpoint starts");
         self.add_instance_with(name, store_endpoint, "");
     }
 
-    /// Starts an instance that has this way to the store and some more settings.
+    /// Starts an instance with this store endpoint and additional settings.
     pub fn add_instance_with(
         &mut self,
         name: &str,
@@ -190,7 +193,8 @@
     ) {
         let ip = next_loopback_ip();
         let log_file = self.dir.join(format!("{name}.log"));
-        // Between the choice of a port and its use another process may take it for a moment.
+        // Another process may take a port between its choice and its use, so starting is tried again on
+        // other ports.
         let settings = self.dir.join(format!("{name}.toml"));
         let started = (0..MAX_START_ATTEMPTS).find_map(|_| {
             let [callers, status, peer] = free_ports(&ip);
@@ -232,32 +236,32 @@
         }
     }
 
-    /// A backend server by identity.
+    /// The backend server with this ID.
     pub fn server(&self, id: &str) -> &Server {
-        self.servers.iter().find(|server| server.id == id).expect("there is such a server")
+        self.servers.iter().find(|server| server.id == id).expect("the server exists")
     }
 
-    /// How often a request was run, over all backend servers.
+    /// Number of times that the backend servers ran the request with this ID.
     pub fn runs(&self, id: &str) -> usize {
         let runs = self.servers.iter().flat_map(|server| server.runs());
         runs.filter(|run| run.id == id).count()
     }
 
-    /// Sends a request to an instance on a connection of its own and reads the whole answer.
+    /// Sends a request to an instance on a new connection and reads the response.
     ///
     /// # Errors
     ///
-    /// Any error before the answer's head.
+    /// Any I/O error before the head of the response is complete.
     pub fn send(&self, instance: usize, request: &Request) -> io::Result<Response> {
         let mut conn = self.connect(instance)?;
         conn.write_all(&request.bytes())?;
         read_response(&mut conn)
     }
 
-    /// Keeps the folder with the log lines when the deployment is dropped, and tells where it is.
+    /// Keeps the directory with the log files when the deployment is dropped, and prints its path.
     pub fn keep_logs(&mut self) {
         self.keep_logs = true;
-        println!("  log lines are kept in {}", self.dir.display());
+        println!("  log files are kept in {}", self.dir.display());
     }
 
     /// The settings file of an instance.
@@ -265,7 +269,7 @@
         &self.instances[instance].settings
     }
 
-    /// A connection to an instance.
+    /// Opens a connection to an instance.
     ///
     /// # Errors
     ///
@@ -280,7 +284,7 @@
 impl Relays {
     fn new(callers: SocketAddr, peers: SocketAddr, store: SocketAddr) -> Relays {
         let [callers, peers, store] =
-            [callers, peers, store].map(|target| Relay::new(target).expect("a relay"));
+            [callers, peers, store].map(|target| Relay::new(target).expect("the relay starts"));
         Relays { callers, peers, store }
     }
 }
@@ -298,20 +302,21 @@
 }
 
 impl Instance {
-    /// What the balancer is told.
+    /// Whether the instance reports readiness, as a load balancer would ask it.
     pub fn ready(&self) -> bool {
         get_status(self.status_address, "/drumusher/readiness")
             .is_some_and(|response| response.status == 200)
     }
 
-    /// Its metrics.
+    /// Its metrics in the Prometheus text format, or an empty text if they cannot be read.
     pub fn metrics(&self) -> String {
         get_status(self.status_address, "/metrics")
             .map(|response| response.text())
             .unwrap_or_default()
     }
 
-    /// The value of its metric whose name and labels contain these words; none yet is zero.
+    /// The value of the first metric whose name and labels contain all these words, or zero if there is
+    /// none yet.
     pub fn metric(&self, words: &[&str]) -> f64 {
         let metrics = self.metrics();
         let is_meant = |line: &&str| words.iter().all(|word| line.contains(word));
@@ -319,19 +324,19 @@
         line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Sends a signal by name.
+    /// Sends the signal of this name to the process.
     pub fn signal(&self, signal: &str) {
         let process = self.child.id().to_string();
         let sent = Command::new("kill").args(["-s", signal, &process]).status();
         assert!(sent.is_ok_and(|status| status.success()), "kill -s {signal} {process}");
     }
 
-    /// Whether and how the process ended.
+    /// The exit status of the process, or `None` while it runs.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok()?
     }
 
-    /// Starts it again at its addresses, after its process ended.
+    /// Starts the instance again at the same addresses after its process ended.
     pub fn restart(&mut self) {
         self.starts += 1;
         let started = (0..MAX_START_ATTEMPTS)
@@ -339,27 +344,27 @@
         self.child = started.expect("the instance starts again");
     }
 
-    /// The log lines written so far.
+    /// The log that its processes have written so far.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log_file).unwrap_or_default()
     }
 }
 
-/// What an instance answers an operator.
+/// Runs an operator statement against an instance with the command line tool and returns its output.
 pub fn operator_query(instance: &Instance, statement: &str) -> String {
-    let asked = Command::new(env!("CARGO_BIN_EXE_drumusher"))
+    let result = Command::new(env!("CARGO_BIN_EXE_drumusher"))
         .args(["ask", "-a", &instance.status_address.to_string(), "-k", "test", statement])
         .output();
-    let output = asked.expect("the program runs");
+    let output = result.expect("the program runs");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// The settings that are the same for all instances.
+/// Settings that all instances share; they follow the `[store]` section.
 const COMMON_SETTINGS: &str =
     "[stop]\naccept_ms = 300\nlongest_seconds = 8\n[telemetry]\nsample_every = 0\n";
 
-/// The settings of an instance that listens for callers, the balancer and other instances.
+/// The settings of one instance, up to its `[store]` section.
 fn instance_settings(
     name: &str,
     [callers, status, peer]: [SocketAddr; 3],
@@ -375,7 +380,7 @@
     )
 }
 
-/// An address of the loopback network for one instance of this process.
+/// The next loopback address, one for each instance that this process starts.
 fn next_loopback_ip() -> String {
     static INSTANCE: AtomicU32 = AtomicU32::new(0);
     let at = INSTANCE.fetch_add(1, Ordering::Relaxed);
@@ -384,14 +389,15 @@
     format!("127.{high}.{low}.{}", 1 + at % 250)
 }
 
-/// Three different ports that are free now.
+/// Three different ports that are free at the moment.
 fn free_ports(ip: &str) -> [SocketAddr; 3] {
     let listeners = [(); 3].map(|()| TcpListener::bind((ip, 0)).expect("a free port"));
-    listeners.map(|listener| listener.local_addr().expect("its address"))
+    listeners.map(|listener| listener.local_addr().expect("the listener has an address"))
 }
 
-/// Starts an instance and waits until it listens on all its ports; `None` if it ended instead. That one of them
-/// takes connections does not show it: another process may have taken the next one.
+/// Starts an instance and waits until it listens on all its ports; `None` if it ended instead. An accepted
+/// connection on one port does not prove it, since another process may have taken the next port; so the log
+/// is checked too.
 fn start(settings: &Path, log_file: &Path, status: SocketAddr) -> Option<Child> {
     let starts =
         || fs::read_to_string(log_file).unwrap_or_default().matches(LISTENING_MARKER).count();
@@ -399,30 +405,30 @@
     let mut child = spawn(settings, log_file);
     let mut ended = false;
     wait_for("the instance listens or ends", || {
-        ended = child.try_wait().expect("its state").is_some();
+        ended = child.try_wait().expect("the process can be polled").is_some();
         ended || starts() > before && TcpStream::connect(status).is_ok()
     });
     (!ended).then_some(child)
 }
 
-/// In the line of an instance that listens on all its ports.
+/// Part of the log line that an instance writes once it listens on all its ports.
 const LISTENING_MARKER: &str = " serves ";
 
-/// Starts an instance whose log lines are added to a file.
+/// Spawns an instance that appends its log to a file.
 fn spawn(settings: &Path, log_file: &Path) -> Child {
     let file = File::options().create(true).append(true).open(log_file);
-    let file = file.expect("a file for log lines");
+    let file = file.expect("the log file opens");
     Command::new(env!("CARGO_BIN_EXE_drumusher"))
         .arg("serve")
         .env("DRUMUSHER_SETTINGS", settings)
         .stdin(Stdio::null())
-        .stdout(file.try_clone().expect("a second handle"))
+        .stdout(file.try_clone().expect("the file handle is duplicated"))
         .stderr(file)
         .spawn()
         .expect("the program starts")
 }
 
-/// Asks where the balancer asks; `None` if no answer begins.
+/// Sends a GET request to the status address; `None` if no response head arrives.
 fn get_status(address: SocketAddr, path: &str) -> Option<Response> {
     let mut conn = TcpStream::connect(address).ok()?;
     conn.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
--- a/crates/drumusher/tests/routes/support/request.rs
+++ b/crates/drumusher/tests/routes/support/request.rs
@@ -1,17 +1,17 @@
-//! Requests as callers send them.
+//! HTTP/1.1 requests as callers send them.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use super::KEY;
 
-/// A caller's request.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
     pub method: &'static str,
-    /// Path and query.
+    /// The path and the query.
     pub path: String,
-    /// Its identity.
+    /// The request ID, sent as `Drumusher-Attempt-Id` unless it is empty.
     pub id: String,
     /// Further headers.
     pub headers: Vec<(String, String)>,
@@ -20,7 +20,7 @@
 }
 
 impl Request {
-    /// A GET; a stream's path asks for a stream.
+    /// A GET request with a new ID. The paths of streaming routes also get the headers of a model request.
     pub fn get(path: &str) -> Request {
         static NUMBER: AtomicU32 = AtomicU32::new(1);
         let id = format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -40,12 +40,12 @@
         request
     }
 
-    /// A POST with a body.
+    /// A POST request with a body.
     pub fn post(path: &str, body: &str) -> Request {
         Request { method: "POST", body: body.into(), ..Request::get(path) }
     }
 
-    /// The same request once more, with an identity of its own.
+    /// The same request with a new ID.
     pub fn with_new_id(&self) -> Request {
         Request { id: Request::get(&self.path).id, ..self.clone() }
     }
@@ -56,13 +56,13 @@
         self
     }
 
-    /// Leaves a header out.
+    /// Removes a header.
     pub fn without(mut self, name: &str) -> Request {
         self.headers.retain(|(n, _)| !n.eq_ignore_ascii_case(name));
         self
     }
 
-    /// As it is sent.
+    /// The request as it is sent. Without a deadline of its own it gets one of 15 s.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!("{} {} HTTP/1.1\r\nHost: host.example\r\n", self.method, self.path);
         if !self.id.is_empty() {
--- a/crates/drumusher/tests/routes/support/response.rs
+++ b/crates/drumusher/tests/routes/support/response.rs
@@ -1,25 +1,25 @@
-//! Answers as callers read them from a connection, whole or cut off.
+//! Reads HTTP/1.1 responses from a connection, whether complete or cut off.
 
 use std::{
     io::{self, Read},
     net::TcpStream,
 };
 
-/// An answer as a caller sees it.
+/// A response as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body, as far as it came.
+    /// The decoded body, as far as it arrived.
     pub body: Vec<u8>,
-    /// Whether it came whole.
+    /// Whether the body arrived completely.
     pub complete: bool,
 }
 
 impl Response {
-    /// The first header of a name.
+    /// The value of the first header with this name, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
@@ -30,11 +30,11 @@
     }
 }
 
-/// Reads one answer.
+/// Reads one response. A body that is cut off is no error but leaves `complete` unset.
 ///
 /// # Errors
 ///
-/// Any error before its head.
+/// Any I/O error before the head is complete.
 pub fn read_response(conn: &mut TcpStream) -> io::Result<Response> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -74,7 +74,7 @@
     }
 }
 
-/// The body of chunks so far, and whether the last one is there.
+/// Decodes the chunks that arrived so far; also returns whether the last chunk is among them.
 fn decode_chunked(mut bytes: &[u8]) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     loop {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Where `what` first stands.
+/// The position of the first occurrence of `what`.
 fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
     bytes.windows(what.len()).position(|window| window == what)
 }
