--- a/crates/drumusher/tests/routes/backend_faults.rs
+++ b/crates/drumusher/tests/routes/backend_faults.rs
@@ -1,4 +1,5 @@
-//! Whole answers, at most once, and refusals that are true, whatever a backend server does.
+//! Faults of backend servers: responses are complete, requests that must not be repeated run at most once,
+//! and "not run" in a refusal is true.
 
 use std::io::Write;
 
@@ -8,14 +9,13 @@
 
 use crate::support::{Deployment, Request, read_response};
 
-/// Sets a fault at both backend servers of the plain service.
+/// Sets a fault on both backend servers of the plain service.
 fn set_desk_fault(deployment: &Deployment, fault: Fault) {
     deployment.server("d1").set(fault);
     deployment.server("d2").set(fault);
 }
 
-/// A request that may not be repeated runs at most once whatever happens, and what says "not run"
-/// is true.
+/// A non-idempotent request runs at most once under any fault, and one that is refused with 503 never ran.
 #[rstest]
 #[case(Fault::Overloaded, 503, 0)]
 #[case(Fault::Misdirected, 503, 0)]
@@ -38,7 +38,7 @@
     let deployment = Deployment::new(1);
     set_desk_fault(&deployment, fault);
     let request = Request::post("/book/", "a booking");
-    let response = deployment.send(0, &request).expect("an answer");
+    let response = deployment.send(0, &request).expect("a response");
     assert_eq!(response.status, status, "{}", response.text());
     assert_eq!(deployment.runs(&request.id), runs);
     assert!(response.complete);
@@ -46,14 +46,18 @@
         assert_eq!(response.text(), body(&request.id));
     }
     if status == 503 {
-        assert!(response.header("retry-after").is_some(), "tells when to come back");
+        assert!(response.header("retry-after").is_some(), "a refusal has Retry-After");
     }
     if status > 500 {
-        assert_eq!(response.header("drumusher-response-seal"), None, "no one's signature");
+        assert_eq!(
+            response.header("drumusher-response-seal"),
+            None,
+            "an error of the instance has no seal"
+        );
     }
 }
 
-/// A repeatable request is answered by another backend server when one fails.
+/// When a backend server fails, an idempotent request is answered by the other one.
 #[rstest]
 #[case(Fault::Overloaded)]
 #[case(Fault::Misdirected)]
@@ -69,24 +73,24 @@
     deployment.server("d1").set(fault);
     for _ in 0..6 {
         let request = Request::get("/read/");
-        let response = deployment.send(0, &request).expect("an answer");
+        let response = deployment.send(0, &request).expect("a response");
         assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
-/// Both backend servers fail with an answer of their own: it is delivered as it is.
+/// When both backend servers answer with an error of their own, that response is forwarded unchanged.
 #[test]
 fn backend_error_is_forwarded_with_its_seal() {
     let deployment = Deployment::new(1);
     set_desk_fault(&deployment, Fault::Fails);
     let request = Request::get("/read/");
-    let response = deployment.send(0, &request).expect("an answer");
+    let response = deployment.send(0, &request).expect("a response");
     assert_eq!((response.status, response.text().as_str()), (500, "failed"));
     assert_eq!(response.header("drumusher-response-seal"), Some(&*format!("seal-{}", request.id)));
 }
 
-/// Bytes after a whole answer, and answers to earlier requests, never reach another request on the
-/// connection to the backend server.
+/// Bytes after a complete response, and responses to earlier requests, never reach another request on the
+/// same backend connection.
 #[rstest]
 #[case(Fault::Extra)]
 #[case(Fault::Crossed)]
@@ -95,83 +99,81 @@
     set_desk_fault(&deployment, fault);
     for _ in 0..20 {
         let request = Request::post("/book/", "x");
-        let response = deployment.send(0, &request).expect("an answer");
+        let response = deployment.send(0, &request).expect("a response");
         assert_eq!((response.status, response.text()), (200, body(&request.id)));
         assert_eq!(deployment.runs(&request.id), 1);
     }
 }
 
-/// A backend server that cannot be connected to costs no request.
+/// A backend server that refuses connections makes no request fail.
 #[test]
 fn unreachable_server_fails_no_request() {
     let deployment = Deployment::new(1);
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = nobody.local_addr().expect("its address");
-    drop(nobody);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("the listener has an address");
+    drop(listener);
     let entry = deployment.server("d1").entry("desk", "ready");
     let own = deployment.server("d1").address.to_string();
     deployment.store.put("keyed.servers", "d0", &entry.replace(&own, &address.to_string()));
     for _ in 0..12 {
         let request = Request::post("/book/", "x");
-        let response = deployment.send(0, &request).expect("an answer");
+        let response = deployment.send(0, &request).expect("a response");
         assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
-/// Many requests on one kept connection of a caller, and connections to backend servers that are
-/// kept: far fewer connections than requests.
+/// A caller sends many requests on one persistent connection, and each gets its own response.
 #[test]
 fn caller_connection_is_reused() {
     let deployment = Deployment::new(1);
     let mut conn = deployment.connect(0).expect("a connection");
     for _ in 0..30 {
         let request = Request::get("/read/");
-        conn.write_all(&request.bytes()).expect("sent");
-        let response = read_response(&mut conn).expect("an answer");
+        conn.write_all(&request.bytes()).expect("the request is sent");
+        let response = read_response(&mut conn).expect("a response");
         assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
-/// A caller that goes away frees the backend server at once.
+/// When a caller disconnects, the connection to the backend server that runs its request is closed.
 #[test]
 fn caller_disconnect_closes_the_backend_connection() {
     let deployment = Deployment::new(1);
     set_desk_fault(&deployment, Fault::Hang);
     let request = Request::post("/book/", "x");
     disconnect_while_running(&deployment, &request);
-    wait_for("the server sees the close", || {
+    wait_for("the server sees the disconnect", || {
         deployment.server("d1").client_disconnects() + deployment.server("d2").client_disconnects()
             == 1
     });
 }
 
-/// The deadline that a caller names is kept: the final answer comes although the backend server
-/// says nothing, and says that the request may have run.
+/// The deadline of a caller is kept: a final response comes although the backend server stays silent, and
+/// it says that the request may have run.
 #[test]
 fn request_is_answered_at_its_deadline() {
     let deployment = Deployment::new(1);
     set_desk_fault(&deployment, Fault::Hang);
     let request = Request::post("/book/", "x").with("Drumusher-Deadline-Ms", "400");
-    let response = deployment.send(0, &request).expect("an answer");
+    let response = deployment.send(0, &request).expect("a response");
     assert_eq!(response.status, 504);
     assert!(response.text().contains("\"ran\":\"unknown\""), "{}", response.text());
 }
 
-/// A caller that leaves before there is an answer has its line in the log.
+/// A caller that disconnects before a response is logged.
 #[test]
 fn caller_disconnect_is_logged() {
     let deployment = Deployment::new(1);
     set_desk_fault(&deployment, Fault::Hang);
     let request = Request::post("/book/", "x");
     disconnect_while_running(&deployment, &request);
-    wait_for("its line is written", || {
+    wait_for("the disconnect is logged", || {
         let lines = deployment.instances[0].log();
         lines.lines().any(|line| line.contains("caller gone") && line.contains(&request.id))
     });
 }
 
-/// What is believed of a backend server that fails, and that it is well again, is told with what led to
-/// it.
+/// Changes of a backend server's health to down and back to good are logged with their cause.
 #[test]
 fn server_health_changes_are_logged() {
     let deployment = Deployment::new(1);
@@ -181,20 +183,20 @@
         lines.lines().any(|l| l.contains(&line) && l.contains("d1") && l.contains("failing"))
     };
     deployment.server("d1").set(Fault::Reset);
-    wait_for("it is told to be down", || {
+    wait_for("the server is logged as down", || {
         let _ = deployment.send(0, &Request::get("/read/"));
         logged("down")
     });
     deployment.server("d1").set(Fault::None);
-    wait_for("it is told to be good", || {
+    wait_for("the server is logged as good", || {
         let _ = deployment.send(0, &Request::get("/read/"));
         logged("good")
     });
 }
 
-/// Sends a request and closes its connection once a backend server runs it.
+/// Sends a request and closes the connection once a backend server runs the request.
 fn disconnect_while_running(deployment: &Deployment, request: &Request) {
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&request.bytes()).expect("sent");
-    wait_for("it runs", || deployment.runs(&request.id) == 1);
+    conn.write_all(&request.bytes()).expect("the request is sent");
+    wait_for("the request runs", || deployment.runs(&request.id) == 1);
 }
--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -1,5 +1,5 @@
-//! Duties that one instance at a time has: usage is told, whole and once, and servers are ordered, whoever is
-//! killed, paused or cut off, and however the platform fails.
+//! Duties that one instance at a time holds: usage is reported completely and once, and servers are scaled,
+//! although instances are killed, paused or cut off and the platform fails.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 
 use crate::support::{Deployment, Request, configuration};
 
-/// The length of the lease, in milliseconds.
+/// Length of the lease of the duties, in milliseconds.
 const LEASE_MS: u64 = 1_500;
-/// The length of a window of usage, in milliseconds.
+/// Length of a usage window, in milliseconds.
 pub const WINDOW_MS: u64 = 500;
-/// Two spells of one instance are so far apart, with another's between them.
+/// Least time between two tenures of one instance with a tenure of another instance in between.
 pub const MIN_TENURE_GAP: Duration = Duration::from_millis(LEASE_MS);
 
-/// The settings of the duties.
+/// The settings of an instance that can hold the duties.
 pub fn settings(duties: &Duties) -> String {
     format!(
         "[duties]\naddress = \"{}\"\nnames = [\"usage_report\", \"autoscale\", \"another\"]\n\
@@ -26,41 +26,41 @@
     )
 }
 
-/// A configuration under which servers of the model may be ordered.
+/// A configuration that allows scaling the servers of the model service.
 pub fn scaling_configuration(version: u64, extra: &str) -> String {
     let scaling = r#""Engine":{"Slots":8},"Scaling":{"Min":1,"Max":8,"BootTimeS":0.5,"SpotPrice":0.25,"ZonePrices":{"z":1.0}}"#;
     configuration(version, extra).replace(r#""Engine":{"Slots":8}"#, scaling)
 }
 
-/// A deployment with duties.
+/// A configured deployment whose instances can hold the duties.
 pub fn deploy(instances: usize) -> (Deployment, Duties) {
     let duties = Duties::start().expect("the platform starts");
     let mut deployment = Deployment::unconfigured(0);
     deployment.store.put("keyed.op", "config", &scaling_configuration(1, ""));
     for number in 0..instances {
-        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
         deployment.add_instance_with(&format!("i{number}"), store_endpoint, &settings(&duties));
     }
     deployment.wait_serving();
     (deployment, duties)
 }
 
-/// Sends so many requests of either kind to an instance.
+/// Sends `count` plain and `count` streaming requests to an instance.
 pub fn send_requests(deployment: &Deployment, instance: usize, count: usize) {
     for _ in 0..count {
         for path in ["/read/", "/talk/"] {
-            let response = deployment.send(instance, &Request::get(path)).expect("an answer");
+            let response = deployment.send(instance, &Request::get(path)).expect("a response");
             assert_eq!(response.status, 200);
         }
     }
 }
 
-/// All requests that the backend servers ran.
+/// Number of requests that the backend servers ran.
 fn requests_run(deployment: &Deployment) -> u64 {
     deployment.servers.iter().map(|server| server.runs().len() as u64).sum()
 }
 
-/// The instance that made the latest call.
+/// The instance that made the latest call to the platform.
 pub fn holder(duties: &Duties) -> Option<String> {
     Some(duties.calls().last()?.holder.clone())
 }
@@ -77,7 +77,7 @@
     });
 }
 
-/// Each request that ran is in the report of one window, whichever instance took it.
+/// Each request that ran is in the usage report of one window, whichever instance received it.
 #[test]
 fn usage_reports_include_every_request() {
     let (deployment, duties) = deploy(3);
@@ -88,54 +88,65 @@
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
-/// The holder is killed: another goes on where it was, with a higher token, and what was told before counts.
+/// When the holder is killed, another instance takes the duties with a higher fencing token and continues
+/// after what was already reported.
 #[test]
 fn duties_move_when_the_holder_is_killed() {
     let (mut deployment, duties) = deploy(3);
     send_requests(&deployment, 0, 3);
     wait_usage_reported(&deployment, &duties);
-    let first = holder(&duties).expect("one has the duties");
-    let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
+    let first = holder(&duties).expect("an instance holds the duties");
+    let at = (0..3)
+        .find(|at| first == format!("i{at}"))
+        .expect("the holder is an instance of the deployment");
     deployment.instances[at].signal("KILL");
-    wait_for("it is gone", || deployment.instances[at].ended().is_some());
+    wait_for("the process is gone", || deployment.instances[at].ended().is_some());
     let other = (at + 1) % 3;
     send_requests(&deployment, other, 3);
-    wait_for("another has the duties", || holder(&duties).is_some_and(|now| now != first));
+    wait_for("another instance holds the duties", || {
+        holder(&duties).is_some_and(|now| now != first)
+    });
     wait_usage_reported(&deployment, &duties);
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
-/// One that is paused and goes on no longer has the duties, and does not act as if it had.
+/// An instance that resumes after a pause no longer holds the duties and does not act as the holder.
 #[test]
 fn paused_holder_loses_its_duties() {
     let (mut deployment, duties) = deploy(3);
     send_requests(&deployment, 0, 3);
     wait_usage_reported(&deployment, &duties);
-    let first = holder(&duties).expect("one has the duties");
-    let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
+    let first = holder(&duties).expect("an instance holds the duties");
+    let at = (0..3)
+        .find(|at| first == format!("i{at}"))
+        .expect("the holder is an instance of the deployment");
     deployment.instances[at].signal("STOP");
     let other = (at + 1) % 3;
     send_requests(&deployment, other, 3);
-    wait_for("another has the duties", || holder(&duties).is_some_and(|now| now != first));
+    wait_for("another instance holds the duties", || {
+        holder(&duties).is_some_and(|now| now != first)
+    });
     deployment.instances[at].signal("CONT");
     send_requests(&deployment, at, 3);
     wait_usage_reported(&deployment, &duties);
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
     let stopped = &mut deployment.instances[at];
     stopped.signal("TERM");
-    wait_for("it stops as any other", || stopped.ended().is_some());
+    wait_for("the resumed instance stops on request", || stopped.ended().is_some());
 }
 
-/// A planned stop hands the duties on.
+/// On a planned stop the holder gives the duties up to another instance.
 #[test]
 fn duties_move_on_a_planned_stop() {
     let (mut deployment, duties) = deploy(3);
     send_requests(&deployment, 0, 3);
     wait_usage_reported(&deployment, &duties);
-    let first = holder(&duties).expect("one has the duties");
-    let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
+    let first = holder(&duties).expect("an instance holds the duties");
+    let at = (0..3)
+        .find(|at| first == format!("i{at}"))
+        .expect("the holder is an instance of the deployment");
     deployment.instances[at].signal("TERM");
-    wait_for("it stops", || deployment.instances[at].ended().is_some());
+    wait_for("the process stops", || deployment.instances[at].ended().is_some());
     send_requests(&deployment, (at + 1) % 3, 3);
     wait_usage_reported(&deployment, &duties);
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
@@ -143,7 +154,8 @@
     assert!(log.contains("this instance no longer has the duties"), "{log}");
 }
 
-/// However the platform fails, each window is reported with one content, and all come when it is back.
+/// However the platform fails, each usage window is reported with one content, and all windows are reported
+/// after the outage.
 #[rstest]
 #[case(Outage::Unavailable)]
 #[case(Outage::Reset)]
@@ -154,15 +166,15 @@
     send_requests(&deployment, 0, 4);
     let reports = || duties.calls().iter().filter(|duty_call| duty_call.path == "/usage").count();
     let before = reports();
-    wait_for("it is tried again", || reports() >= before + 2);
+    wait_for("the reports are retried", || reports() >= before + 2);
     send_requests(&deployment, 1, 4);
     duties.set_outage(Outage::None);
     wait_usage_reported(&deployment, &duties);
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
-/// While the store is away nobody can prove that it has the duties, or tell what it counted; when it is back all is
-/// reported.
+/// During an outage of the store no instance can prove that it holds the duties or publish its counts;
+/// afterwards all usage is reported.
 #[rstest]
 #[case(Outage::Unavailable)]
 #[case(Outage::Unresponsive)]
@@ -185,13 +197,15 @@
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
-/// Cheaper servers are ordered in place of those that there were, within the bounds of the configuration.
+/// Cheaper servers are requested in place of the present ones, within the bounds of the configuration.
 #[test]
 fn scaling_orders_stay_within_bounds() {
     let (deployment, duties) = deploy(2);
     send_requests(&deployment, 0, 2);
     let orders = || duties.calls().into_iter().filter(|duty_call| duty_call.path == "/scaling");
-    wait_for("servers are ordered", || orders().any(|duty_call| duty_call.body["Spot"] == true));
+    wait_for("spot servers are requested", || {
+        orders().any(|duty_call| duty_call.body["Spot"] == true)
+    });
     for order in orders() {
         let count = order.body["DesiredCount"].as_u64().expect("a count");
         assert!((0..=8).contains(&count) && order.body["Zone"] == "z", "{order:?}");
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -1,4 +1,5 @@
-//! Instances among themselves: dispatchers that fall silent, and what one is told by another.
+//! Communication among instances: dispatchers that fail, changes that one instance gets from another, and
+//! the list of instances.
 
 use std::io::Write;
 
@@ -9,18 +10,18 @@
 
 use crate::support::{DESK, Deployment, Request, configuration, read_response};
 
-/// An instance that is turned away from the store learns changes from the others, whichever it is
-/// and however it is turned away.
+/// An instance without access to the store gets changes from the other instances, whichever instance it is
+/// and however the store fails for it.
 #[rstest]
 fn changes_reach_an_instance_without_the_store(
     #[values(0, 1, 2)] turned_away: usize,
     #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
 ) {
     let deployment = Deployment::new(3);
-    wait_for("they know each other", || all_registered(&deployment, 3));
+    wait_for("all instances are registered", || all_registered(&deployment, 3));
     let store_endpoint = &deployment.instances[turned_away].store_endpoint;
     store_endpoint.set_outage(away);
-    wait_for("no call of before is under way", || {
+    wait_for("no older call is in flight", || {
         let reads = last_of(&deployment.instances[turned_away].log(), "reads the store for others");
         let no_older_call =
             !store_endpoint.failed_waits().is_empty() && store_endpoint.under_way() == 0;
@@ -28,47 +29,47 @@
     });
     deployment.store.put("keyed.op", "config", &configuration(9, "extra"));
     for at in 0..3 {
-        wait_for("the change is in force there", || {
+        wait_for("the change is applied", || {
             let response = deployment.send(at, &Request::get("/extra/"));
             response.is_ok_and(|response| response.status == 200)
         });
     }
 }
 
-/// Whichever instance is frozen or killed, the others serve every request meanwhile.
+/// While any one instance is paused, or one is killed, the others serve every request.
 #[test]
 fn requests_are_served_while_another_instance_is_down() {
     let mut deployment = Deployment::new(3);
-    wait_for("they know each other", || all_registered(&deployment, 3));
+    wait_for("all instances are registered", || all_registered(&deployment, 3));
     for frozen in 0..3 {
         deployment.instances[frozen].signal("STOP");
         for at in (0..3).filter(|at| *at != frozen) {
             for _ in 0..4 {
                 let request = Request::post("/book/", "x");
-                let response = deployment.send(at, &request).expect("an answer");
+                let response = deployment.send(at, &request).expect("a response");
                 assert_eq!((response.status, response.text()), (200, body(&request.id)));
             }
         }
         deployment.instances[frozen].signal("CONT");
     }
     deployment.instances[0].signal("KILL");
-    wait_for("it is gone", || deployment.instances[0].ended().is_some());
+    wait_for("the process is gone", || deployment.instances[0].ended().is_some());
     for at in 1..3 {
         let request = Request::post("/book/", "x");
-        let response = deployment.send(at, &request).expect("an answer");
+        let response = deployment.send(at, &request).expect("a response");
         assert_eq!((response.status, response.text()), (200, body(&request.id)));
     }
 }
 
-/// Whether so many instances are entered in the store.
+/// Whether the first `count` instances are registered in the store.
 fn all_registered(deployment: &Deployment, count: usize) -> bool {
     let entered =
         |at: &usize| deployment.store.newest("keyed.instances", &format!("i{at}")).is_some();
     (0..count).filter(entered).count() == count
 }
 
-/// The same without any request, whose connections would carry the changes too: all but one of
-/// those that read the store are turned away at once, and the one that is left tells them.
+/// All readers but one lose the store at once, and the remaining reader sends changes to all others. No
+/// requests are sent, since the connections for them would carry changes too.
 #[rstest]
 fn remaining_reader_propagates_changes(
     #[values(0, 3)] left: usize,
@@ -77,14 +78,15 @@
     let deployment = Deployment::unconfigured(6);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     for instance in &deployment.instances {
-        wait_for("it is ready", || instance.ready());
+        wait_for("the instance is ready", || instance.ready());
     }
-    // Four may read before all six are listed, and others later: those four by rank are to be awaited.
+    // Before all six instances are listed, other instances than the first four by rank may be readers.
     let expected = expected_readers();
     wait_for("four instances read the store", || readers(&deployment) == expected);
     let readers = expected;
-    // Only who has seen the store for as long as lapsed entries may be missing can tell others that an end is none.
-    wait_for("the one that is left confirms what it read", || {
+    // Only a reader that has had the store for as long as lapsed entries may be missing can confirm
+    // removals to others.
+    wait_for("the remaining reader confirms the server entries", || {
         deployment.instances[readers[left]].metric(&["entries_confirmed"]) >= SERVER_RECORDS
     });
     for at in readers.iter().filter(|at| **at != readers[left]) {
@@ -92,88 +94,90 @@
     }
     for at in readers.iter().filter(|at| **at != readers[left]) {
         let store_endpoint = &deployment.instances[*at].store_endpoint;
-        wait_for("no call of before is under way", || {
+        wait_for("no older call is in flight", || {
             !store_endpoint.failed_waits().is_empty() && store_endpoint.under_way() == 0
         });
     }
     deployment.store.put("keyed.op", "config", &configuration(9, "extra"));
     for instance in &deployment.instances {
-        wait_for("the change is in force there", || instance.log().contains("\"version\":\"9\""));
+        wait_for("the change is applied", || instance.log().contains("\"version\":\"9\""));
     }
-    // The store is there for one of them, so that an entry that ends has not lapsed.
+    // One reader still has the store, so a removed entry has not lapsed.
     deployment.store.remove("keyed.servers", "d1");
     for instance in &deployment.instances {
         let ended = || last_of(&instance.log(), "server's entry ended");
-        wait_for("the end is known there", || !ended().is_empty());
+        wait_for("the removal is logged", || !ended().is_empty());
         assert!(ended().contains("\"held\":\"false\""), "{}", ended());
     }
 }
 
-/// An instance that is gone for good is taken off the list; one whose entry was dropped although it is
-/// there enters itself again.
+/// An instance that is gone for good is removed from the list; a running instance whose entry was removed
+/// registers itself again.
 #[test]
 fn dead_instances_are_removed_from_the_list() {
     let mut deployment = Deployment::unconfigured(3);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
-    wait_for("they know each other", || all_registered(&deployment, 3));
+    wait_for("all instances are registered", || all_registered(&deployment, 3));
     deployment.instances[2].signal("KILL");
-    wait_for("it is gone", || deployment.instances[2].ended().is_some());
-    wait_for("it is off the list", || deployment.store.newest("keyed.instances", "i2").is_none());
+    wait_for("the process is gone", || deployment.instances[2].ended().is_some());
+    wait_for("the instance is removed from the list", || {
+        deployment.store.newest("keyed.instances", "i2").is_none()
+    });
     assert!(all_registered(&deployment, 2));
     deployment.instances[2].restart();
-    wait_for("it is back", || all_registered(&deployment, 3));
+    wait_for("the restarted instance is registered", || all_registered(&deployment, 3));
     deployment.store.remove("keyed.instances", "i1");
-    wait_for("it enters itself again", || all_registered(&deployment, 3));
+    wait_for("the instance registers itself again", || all_registered(&deployment, 3));
 }
 
-/// An instance that cannot write to the store is entered by another one that reads it.
+/// An instance that cannot write to the store is registered by another one that reads it.
 #[test]
 fn read_only_instance_is_registered_by_another() {
     let mut deployment = Deployment::new(1);
-    wait_for("the first one entered itself", || all_registered(&deployment, 1));
-    let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+    wait_for("the first instance is registered", || all_registered(&deployment, 1));
+    let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
     store_endpoint.set_read_only();
     deployment.add_instance_with("i1", store_endpoint, "");
-    wait_for("it is entered", || all_registered(&deployment, 2));
+    wait_for("the read-only instance is registered", || all_registered(&deployment, 2));
 }
 
-/// An instance that restarts where it was finds its entry and writes nothing.
+/// An instance that restarts at the same address finds its entry and writes nothing to the store.
 #[test]
 fn restart_reuses_the_instance_entry() {
     let mut deployment = Deployment::new(2);
-    wait_for("they know each other", || all_registered(&deployment, 2));
+    wait_for("all instances are registered", || all_registered(&deployment, 2));
     let entered = deployment.store.newest("keyed.instances", "i1");
     deployment.instances[1].signal("KILL");
-    wait_for("it is gone", || deployment.instances[1].ended().is_some());
+    wait_for("the process is gone", || deployment.instances[1].ended().is_some());
     let before = deployment.instances[1].store_endpoint.appends();
     deployment.instances[1].restart();
-    wait_for("it serves", || {
+    wait_for("the instance serves", || {
         deployment.send(1, &Request::get("/read/")).is_ok_and(|response| response.status == 200)
     });
     assert_eq!(deployment.instances[1].store_endpoint.appends(), before);
     assert_eq!(deployment.store.newest("keyed.instances", "i1"), entered);
 }
 
-/// A request that comes while an instance starts waits for the configuration.
+/// A request that arrives while an instance starts waits for the configuration.
 #[test]
 fn request_waits_while_an_instance_starts() {
     let mut deployment = Deployment::empty(false);
     deployment.add_server("d1", DESK);
-    let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+    let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
     deployment.add_instance_with("i0", store_endpoint, "[start]\nwait_ms = 45000\n");
     let request = Request::get("/read/").with("Drumusher-Deadline-Ms", "600000");
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&request.bytes()).expect("sent");
-    assert!(!deployment.instances[0].ready(), "nothing is in force yet");
+    conn.write_all(&request.bytes()).expect("the request is sent");
+    assert!(!deployment.instances[0].ready(), "no configuration is applied yet");
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
-    let response = read_response(&mut conn).expect("an answer");
+    let response = read_response(&mut conn).expect("a response");
     assert_eq!((response.status, response.text()), (200, body(&request.id)));
 }
 
-/// The records of backend servers that a deployment of tests begins with.
+/// Backend server entries in the store of a new deployment.
 const SERVER_RECORDS: f64 = 4.0;
 
-/// The places of the instances, of six, that read the store now.
+/// Indexes of those of the six instances that are readers now.
 pub fn readers(deployment: &Deployment) -> Vec<usize> {
     let reads = |at: &usize| {
         let line = last_of(&deployment.instances[*at].log(), "reads the store for others");
@@ -182,7 +186,7 @@
     (0..6).filter(reads).collect()
 }
 
-/// The places of the four of six instances that read the store once all are listed.
+/// Indexes of the four of six instances that are the readers once all are listed.
 pub fn expected_readers() -> Vec<usize> {
     let names: Vec<String> = (0..6).map(|at| format!("i{at}")).collect();
     let candidates = names.iter().map(|name| Candidate { name, capacity: DEFAULT_CAPACITY });
@@ -194,7 +198,7 @@
     places
 }
 
-/// The last log line that contains a text.
+/// The last log line that contains a text, or an empty text.
 fn last_of(lines: &str, text: &str) -> String {
     lines.lines().rev().find(|line| line.contains(text)).unwrap_or("").to_string()
 }
--- a/crates/drumusher/tests/routes/uncertain_removals.rs
+++ b/crates/drumusher/tests/routes/uncertain_removals.rs
@@ -1,15 +1,15 @@
-//! Ends of backend servers' entries, and for how long they are doubted after the store was away.
+//! Removals of backend servers' entries, and how long they stay uncertain after an outage of the store.
 //!
-//! Callers of two small deployments had requests reach backend servers that had left more than two seconds
-//! before. The store had been away for 4.3 s; three seconds after its return a server left. Ends of entries are
-//! doubted for two seconds after a return, since entries that lapsed are written again in that time; but each
-//! instance told the others what it had read together with its own doubt, and who was told began the two seconds
-//! anew and told on in turn. With a configuration every half second the doubt went round among those that read
-//! the store for fourteen seconds, up to the next outage, and every end was held back. The evidence were lines
-//! with the teller of each doubt and the age of the doubted outage: one word from each reader to each other for
-//! every configuration, at an age that never rose above 500 ms, while none of their own calls failed.
+//! For two seconds after an outage a removal is held, since entries that lapsed meanwhile are written again
+//! in that time. These tests guard against a failure in which servers still got requests more than two
+//! seconds after they had left: the store had been away for 4.3 s, and a server left three seconds after
+//! its return. Each reader sent what it had read to the other instances together with its own uncertainty;
+//! a receiver started the two seconds again and passed it on. With a new configuration every half second
+//! the uncertainty circulated among the readers for fourteen seconds, up to the next outage, and all
+//! removals were held. In the logs the reported age of the outage never rose above 500 ms although no call
+//! of these readers failed.
 //!
-//! The same lines showed calls that had begun during the outage and failed up to ten seconds after it, which
+//! The second cause was calls that had begun during the outage and failed up to ten seconds after it: each
 //! counted as a new outage.
 
 use drumusher_adapter_stand_in::Outage;
@@ -20,7 +20,8 @@
     support::{Deployment, Instance, configuration},
 };
 
-/// How often an instance took it for true that the entry of a backend server ended.
+/// Number of times that an instance logged the removal of a backend server's entry as certain, at once or
+/// after holding it.
 pub fn removals_accepted(instance: &Instance, server: &str) -> usize {
     let at_once = |line: &str| {
         line.contains("server's entry ended")
@@ -31,7 +32,8 @@
     instance.log().lines().filter(|line| at_once(line) || later(line)).count()
 }
 
-/// Waits for a condition while configurations come, each as soon as the one before is in force.
+/// Waits for a condition while writing new configurations, each as soon as all instances applied the one
+/// before.
 pub fn wait_while_reconfiguring(
     deployment: &Deployment,
     version: &mut u64,
@@ -49,8 +51,8 @@
     });
 }
 
-/// Configurations that keep coming do not keep doubt alive: the end of a server that is not back after an
-/// outage is believed, and so is one that comes later.
+/// A steady flow of configurations does not prolong the uncertainty: the removal of a server that does not
+/// come back after an outage is accepted, and so is a later removal.
 #[test]
 fn removals_are_accepted_while_configurations_change() {
     let deployment = Deployment::new(4);
@@ -58,7 +60,7 @@
         instance.store_endpoint.set_outage(Outage::Reset);
     }
     for instance in &deployment.instances {
-        wait_for("the outage is known", || instance.log().contains("what is in force stays"));
+        wait_for("the outage is logged", || instance.log().contains("what is in force stays"));
     }
     deployment.store.remove("keyed.servers", "d2");
     for instance in &deployment.instances {
@@ -69,62 +71,66 @@
         deployment.instances.iter().all(|instance| removals_accepted(instance, server) > 0)
     };
     let plain = |version| configuration(version, "");
-    let what = "the missing server is gone";
+    let what = "the removal of the missing server is accepted";
     wait_while_reconfiguring(&deployment, &mut version, plain, what, || gone("d2"));
     deployment.store.remove("keyed.servers", "m2");
-    let what = "the one that left later is gone";
+    let what = "the later removal is accepted";
     wait_while_reconfiguring(&deployment, &mut version, plain, what, || gone("m2"));
 }
 
-/// A call about the instances waits longer than others. That it got no answer tells of an outage that is over, if
-/// there was one, of which others have told: an end that is read after it is believed at once.
+/// Calls about the instances wait longer than others. One that gets no response points at most to an outage
+/// that is over and that shorter calls would have noticed, so a removal that is read after it is accepted
+/// at once.
 #[test]
 fn unanswered_older_call_does_not_hold_removals() {
     let deployment = Deployment::new(1);
     let instance = &deployment.instances[0];
-    wait_for("it entered itself", || deployment.store.newest("keyed.instances", "i0").is_some());
+    wait_for("the instance is registered", || {
+        deployment.store.newest("keyed.instances", "i0").is_some()
+    });
     instance.store_endpoint.silence_topic("keyed.instances");
-    // The call under way is answered, the next one is not, and those after it are.
+    // The call in flight is answered, the next one is not, and those after it are.
     let calls = instance.store_endpoint.calls_about("keyed.instances");
     deployment.store.put("keyed.instances", "another", "{}");
-    wait_for("a call is under way that gets no answer", || {
+    wait_for("a call that gets no response is in flight", || {
         instance.store_endpoint.calls_about("keyed.instances") > calls
     });
     instance.store_endpoint.silence_topic("");
     let failed = || instance.metric(&["store_failures", "instances"]);
     let before = failed();
-    wait_for("a silent call is given up", || failed() > before);
+    wait_for("the unanswered call times out", || failed() > before);
     deployment.store.remove("keyed.servers", "d2");
     let ended = || {
         let lines = instance.log();
         lines.lines().rev().find(|line| line.contains("server's entry ended")).map(str::to_string)
     };
-    wait_for("the end is known", || ended().is_some());
-    let line = ended().expect("it was there");
+    wait_for("the removal is logged", || ended().is_some());
+    let line = ended().expect("the removal is in the log");
     assert!(line.contains("\"held\":\"false\""), "{line}");
 }
 
-/// All four that read the store get no answers, and say so. The two that they told read it by themselves then, and
-/// are answered at once, as when the store is just back: entries that ended meanwhile may have lapsed, and are held.
-/// Without that, such instances took all servers for gone whose entries were not back yet.
+/// All four readers lose the store and report it. The two other instances then read the store themselves
+/// and get responses at once, as if it had just come back: entries that were removed meanwhile may have
+/// lapsed, so their removal is held. Otherwise these instances would drop all servers whose entries are not
+/// written again yet.
 #[test]
 fn new_readers_hold_removals_after_the_former_readers_lose_the_store() {
     let deployment = Deployment::unconfigured(6);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     deployment.wait_serving();
     wait_for("four instances read the store", || readers(&deployment) == expected_readers());
-    // One that read it for a moment at the start may have a long call under way. It has the store by itself until that ends,
-    // and believes what it is told there.
+    // An instance that was a reader for a moment at the start may have a long call in flight. Until that
+    // ends it has its own access to the store and accepts the removals that it reads there.
     for at in (0..6).filter(|at| !expected_readers().contains(at)) {
         let store_endpoint = &deployment.instances[at].store_endpoint;
-        wait_for("no call of before is under way", || store_endpoint.under_way() == 0);
+        wait_for("no older call is in flight", || store_endpoint.under_way() == 0);
     }
     for at in expected_readers() {
         deployment.instances[at].store_endpoint.set_outage(Outage::Reset);
     }
     for at in expected_readers() {
         let instance = &deployment.instances[at];
-        wait_for("the outage is known", || instance.log().contains("what is in force stays"));
+        wait_for("the outage is logged", || instance.log().contains("what is in force stays"));
     }
     deployment.store.remove("keyed.servers", "d2");
     for at in (0..6).filter(|at| !expected_readers().contains(at)) {
@@ -133,8 +139,8 @@
             let line = lines.lines().find(|line| line.contains("server's entry ended"));
             line.map(str::to_string)
         };
-        wait_for("the end is known", || ended().is_some());
-        let line = ended().expect("it was there");
+        wait_for("the removal is logged", || ended().is_some());
+        let line = ended().expect("the removal is in the log");
         assert!(line.contains("\"held\":\"true\""), "{line}");
     }
 }
