--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -1,13 +1,12 @@
-//! What backend servers say of themselves in their answers: a limit, a rest, that they leave.
+//! Notices that backend servers send in response headers: a request limit, a rest period, or that they are
+//! leaving.
 //!
-//! Callers of a small deployment were sent to servers that had asked not to be: one in need had named a limit for all
-//! instances together and got as much as before; one that leaves had said so to two instances, which sent to it for 10 s
-//! more, until the store had its record; one that turned everything away had asked for 3 s of rest, and got three or four
-//! requests from one instance in that time. All of them wrote it in the heads of their answers.
-//!
-//! Nothing heard it: instances passed the heads on, and the store's record was the only word of a server that was believed.
-//! The evidence were arrivals that did not change with the first word, at the same instances, and that ended with the record
-//! where there was one; no line named any of it.
+//! These tests guard against instances that forward the headers without reading them and go by the server's
+//! store entry alone. That failure sent requests to servers that had asked for fewer: one with a limit for
+//! all instances together got as many as before; one that was leaving had said so to two instances, which
+//! sent to it for 10 s more, until the store had its entry; one that refused everything and asked for 3 s
+//! of rest got three or four requests from one instance in that time. No log line mentioned any of these
+//! notices.
 
 use std::{
     thread,
@@ -26,24 +25,24 @@
 
 use crate::support::{DESK, Deployment, OPERATOR, Request, configuration, operator_query};
 
-/// Within this after a limit is first named it is to be kept.
+/// A limit has to be kept from this time after it is first announced.
 const LIMIT_GRACE: Duration = Duration::from_secs(3);
-/// Within this after an instance was told that a server leaves it is to send nothing more there.
+/// An instance may send no more requests from this time after a server told it that it is leaving.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
-/// Requests a second of all callers together.
+/// Request rate of all callers together.
 const REQUESTS_PER_SECOND: u64 = 60;
 
-/// Instances, and so many plain servers.
+/// A deployment of instances and plain backend servers.
 fn deploy(instances: usize, servers: usize) -> Deployment {
     deploy_with_relays(instances, servers, false)
 }
 
-/// The same, with relays before the instances or not.
+/// The same deployment, optionally with relays in front of the instances.
 fn deploy_with_relays(instances: usize, servers: usize, with_relays: bool) -> Deployment {
     let mut deployment = Deployment::empty(with_relays);
     (0..servers).for_each(|number| deployment.add_server(&format!("d{number}"), DESK));
     for number in 0..instances {
-        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
         deployment.add_instance_with(&format!("i{number}"), store_endpoint, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
@@ -57,23 +56,25 @@
     deployment
 }
 
-/// The path of requests that a process of an instance takes, by which arrivals tell who sent them.
+/// A request path that names the instance and its process, so that an arrival shows which process forwarded
+/// it.
 fn path(deployment: &Deployment, at: usize) -> String {
     format!("/read/i{at}-{}", deployment.instances[at].starts)
 }
 
-/// Which process sent a request.
+/// The instance and process that forwarded a request.
 fn sender(arrival: &Arrival) -> Option<String> {
     arrival.path.strip_prefix("/read/i").map(String::from)
 }
 
-/// Callers who come at the instances in turn, without waiting for answers, for a time. Returns the statuses.
+/// Sends requests to all instances in turn at a fixed rate, without waiting for responses, and returns
+/// their statuses; 0 stands for a failed connection.
 fn send_load(deployment: &Deployment, rate: u64, time: Duration) -> Vec<u16> {
     let all: Vec<usize> = (0..deployment.instances.len()).collect();
     send_load_to(deployment, &all, rate, time)
 }
 
-/// The same at some of the instances.
+/// The same for some of the instances.
 fn send_load_to(deployment: &Deployment, some: &[usize], rate: u64, time: Duration) -> Vec<u16> {
     let since = Instant::now();
     let pause = Duration::from_secs(1) / rate as u32;
@@ -94,12 +95,14 @@
     })
 }
 
-/// How much more arrived at a server than a limit allows.
+/// Requests that arrived at a server beyond what a limit of `rate` per second allows; zero or less if it
+/// was kept.
 fn excess_over_limit(server: &Server, rate: f64) -> f64 {
     over_limit(&server.arrivals(), sender, (rate, LIMIT_GRACE))
 }
 
-/// A server that names a limit gets no more than that from all instances together, whether it is one of many or all do.
+/// A server that announces a limit gets no more than that from all instances together, whether one of many
+/// servers or every server is limited.
 #[test]
 fn server_limit_holds_across_instances() {
     thread::scope(|scope| {
@@ -121,8 +124,8 @@
     });
 }
 
-/// A server that says that it leaves gets nothing more from those that it told, although its record says otherwise and is
-/// written anew.
+/// A server that announces that it is leaving gets no more requests from the instances that it told,
+/// although its store entry says otherwise and is rewritten.
 #[test]
 fn leaving_notice_stops_requests() {
     let deployment = deploy(3, 3);
@@ -138,7 +141,7 @@
     assert_eq!(late, 0, "of {} arrivals", leaving.arrivals().len());
 }
 
-/// A server that turns requests away and asks for rest gets it from each instance that it asked.
+/// A server that refuses requests and asks for a rest period gets it from each instance that it told.
 #[test]
 fn rest_notice_pauses_requests() {
     let deployment = deploy(3, 3);
@@ -150,13 +153,13 @@
     assert!(most <= MAX_REQUESTS_DURING_REST, "{most} from one instance within a rest");
 }
 
-/// An operator sees who is limited, leaving or at rest, since when and by whose word, and that it changed; and that a
-/// server says what cannot be read.
+/// An operator query shows which servers are limited, leaving or resting and which instance heard it; the
+/// log and the metrics show the notices too, and the log those that cannot be parsed.
 #[test]
 fn operators_can_query_notices() {
     let deployment = deploy(2, 1);
     let server = &deployment.servers[0];
-    let told = |what: &str, words: &[&str]| {
+    let wait_until_shown = |what: &str, words: &[&str]| {
         wait_for(what, || {
             send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(200));
             let rows = operator_query(
@@ -174,7 +177,10 @@
         rest: Some("60".into()),
         ..Notice::limit("0.5")
     });
-    told("all is told of", &["\"leaving\":true", "\"rest_left_ms\":5", "\"heard_by\":\"i"]);
+    wait_until_shown(
+        "all notices are shown",
+        &["\"leaving\":true", "\"rest_left_ms\":5", "\"heard_by\":\"i"],
+    );
     let lines: String = deployment.instances.iter().map(|instance| instance.log()).collect();
     for words in ["names a limit", "says that it leaves", "asks for rest", "cannot be read"] {
         assert!(lines.contains(words), "no line says {words:?}");
@@ -186,21 +192,21 @@
     }
 }
 
-/// What becomes of instances while a server is limited.
+/// A disruption of instances while a server is limited.
 #[derive(Clone, Copy, Debug)]
 enum Disruption {
-    /// They are killed one after the other and start again, the dispatcher among them.
+    /// The instances, the dispatcher among them, are killed one after the other and restarted.
     Killed,
-    /// They are told to stop one after the other and start again.
+    /// The instances are stopped gracefully one after the other and restarted.
     Rolled,
-    /// They are stopped and go on, as suspended machines do.
+    /// The instances are paused and resumed one after the other, like suspended machines.
     Frozen,
-    /// None reaches another one, for a while.
+    /// No instance reaches another one for a while.
     CutOff,
 }
 
-/// A limit is kept by all together although dispatchers change and the fleet is divided. What is counted against it are
-/// those that were told; a process that starts again is another one.
+/// The instances together keep a limit although dispatchers change and the fleet is partitioned. Only
+/// requests from processes that were told the limit count; a restarted process is a new one.
 #[rstest]
 #[case(Disruption::Killed)]
 #[case(Disruption::Rolled)]
@@ -253,7 +259,7 @@
     relays.for_each(|relays| relays.peers.set(mode));
 }
 
-/// A limit that ends is noticed, also one of none: the server gets requests again as before.
+/// Once a limit is lifted, even one of zero, the server gets as many requests as before.
 #[rstest]
 #[case("0")]
 #[case("0.2")]
@@ -265,18 +271,18 @@
     send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(2));
     server.announce(Notice::default());
     let lifted = |at: usize| operator_query(&deployment.instances[at], "show notices").is_empty();
-    wait_for("no limit is in force", || {
+    wait_for("the limit is lifted", || {
         send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(200));
         lifted(0) && lifted(1)
     });
     let before = server.arrivals().len();
-    wait_for("it gets as much as before", || {
+    wait_for("the server gets as many requests as before", || {
         send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(500));
         server.arrivals().len() > before + 20
     });
 }
 
-/// What cannot be read, or is more than any server takes, holds up nothing.
+/// Notices that cannot be parsed, and limits above any possible load, block no requests.
 #[rstest]
 #[case(Notice::limit("abc"))]
 #[case(Notice::limit("-1"))]
@@ -291,7 +297,8 @@
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
 
-/// All servers of a service are limited: callers who cannot be in time are told so truly, with a time to come back.
+/// When all servers of a service are limited, requests that cannot be served in time are refused as not
+/// run, with Retry-After.
 #[test]
 fn requests_beyond_the_limits_are_refused_with_retry_after() {
     let deployment = deploy(2, 2);
@@ -303,11 +310,11 @@
         deployment.send(0, &request.with_new_id()).ok().filter(|response| response.status != 200)
     };
     let mut response = None;
-    wait_for("one is refused", || {
+    wait_for("a request is refused", || {
         response = refused();
         response.is_some()
     });
-    let response = response.expect("it is refused");
+    let response = response.expect("a request is refused");
     let again: f64 = response.header("retry-after").and_then(|t| t.parse().ok()).expect("a time");
     assert!(
         again > 0.0 && response.text().contains(r#""ran":"no""#),
@@ -316,8 +323,8 @@
     );
 }
 
-/// The only server rests for one instance: its callers are told at once how long, and nothing is sent; another instance
-/// goes on.
+/// When the only server asks one instance for a rest period, that instance refuses requests at once with
+/// the remaining time in Retry-After and sends none; another instance continues to send.
 #[test]
 fn requests_are_refused_with_retry_after_while_all_servers_rest() {
     let deployment = deploy(2, 1);
@@ -325,26 +332,26 @@
     server.announce(Notice::rest("20"));
     server.set(Fault::Overloaded);
     let request = Request::get(&path(&deployment, 0));
-    assert_ne!(deployment.send(0, &request.with_new_id()).expect("an answer").status, 200);
+    assert_ne!(deployment.send(0, &request.with_new_id()).expect("a response").status, 200);
     server.set(Fault::None);
     let reached = server.arrivals().len();
     for _ in 0..5 {
-        let response = deployment.send(0, &request.with_new_id()).expect("an answer");
+        let response = deployment.send(0, &request.with_new_id()).expect("a response");
         assert_eq!(response.status, 503);
         let again: f64 =
             response.header("retry-after").and_then(|t| t.parse().ok()).expect("a time");
         assert!((1.0..=20.0).contains(&again), "{again}");
     }
-    assert_eq!(server.arrivals().len(), reached, "nothing is sent there");
+    assert_eq!(server.arrivals().len(), reached, "nothing is sent to the resting server");
     let returned = deployment.instances[0].metric(&["grants_returned"]);
-    assert_eq!(returned, 0.0, "its dispatcher plans by it, and grants nothing");
+    assert_eq!(returned, 0.0, "the dispatcher knows of the rest and grants nothing");
     let other = Request::get(&path(&deployment, 1));
-    wait_for("the other one is served", || {
+    wait_for("the other instance serves", || {
         deployment.send(1, &other.with_new_id()).is_ok_and(|response| response.status == 200)
     });
 }
 
-/// The word comes beside any answer: of a plain request, one that is turned away, one that fails, or a stream.
+/// A leaving notice is read from any response: to a plain request, a refusal, a failure or a stream.
 #[rstest]
 #[case(Fault::None, "/read/")]
 #[case(Fault::Overloaded, "/read/")]
@@ -355,26 +362,28 @@
     let deployment = Deployment::new(1);
     let prefix = if path == "/read/" { "d" } else { "m" };
     let mut of_service = deployment.servers.iter().filter(|server| server.id.starts_with(prefix));
-    let (leaving, other) = (of_service.next().expect("one"), of_service.next().expect("two"));
+    let (leaving, other) =
+        (of_service.next().expect("a first server"), of_service.next().expect("a second server"));
     leaving.announce(Notice::leaving());
     leaving.set(fault);
-    // So that the first one is tried.
+    // Makes the instance try the leaving server.
     other.set(Fault::Overloaded);
-    wait_for("the instance was told", || {
+    wait_for("the notice is logged", || {
         let _ = deployment.send(0, &Request::get(path));
         deployment.instances[0].log().contains("says that it leaves")
     });
     [leaving, other].iter().for_each(|server| server.set(Fault::None));
     let reached = leaving.arrivals().len();
     for _ in 0..20 {
-        wait_for("it is served", || {
+        wait_for("the request is served", || {
             deployment.send(0, &Request::get(path)).is_ok_and(|response| response.status == 200)
         });
     }
     assert_eq!(leaving.arrivals().len(), reached);
 }
 
-/// All servers of a service leave: callers are told at once that nothing ran. A new start of one is another server.
+/// When all servers of a service are leaving, requests are refused at once. A server that restarts is used
+/// again.
 #[test]
 fn server_restart_clears_its_notices() {
     let deployment = deploy(2, 1);
@@ -388,7 +397,7 @@
     server.announce(Notice::default());
     deployment.store.put("keyed.servers", &server.id, &server.entry_started_at(DESK, "ready", 9));
     for at in 0..2 {
-        wait_for("it is served", || {
+        wait_for("the request is served", || {
             let request = Request::get(&path(&deployment, at));
             deployment.send(at, &request).is_ok_and(|response| response.status == 200)
         });
--- a/crates/drumusher/tests/routes/planned_stop.rs
+++ b/crates/drumusher/tests/routes/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing.
+//! Planned stops: requests in flight are completed as far as time allows.
 
 use std::io::{Read, Write};
 
@@ -10,7 +10,7 @@
 
 use crate::support::{Deployment, Request, read_response};
 
-/// What is in flight is finished, and the process ends by itself with success.
+/// Requests in flight are completed, and the process exits with success.
 #[test]
 fn requests_in_flight_complete_on_a_planned_stop() {
     let mut deployment = Deployment::new(1);
@@ -22,49 +22,49 @@
     let mut conns = Vec::new();
     for request in [&booking, &stream] {
         let mut conn = deployment.connect(0).expect("a connection");
-        conn.write_all(&request.bytes()).expect("sent");
-        wait_for("it runs", || deployment.runs(&request.id) == 1);
+        conn.write_all(&request.bytes()).expect("the request is sent");
+        wait_for("the request runs", || deployment.runs(&request.id) == 1);
         conns.push(conn);
     }
     deployment.instances[0].signal("TERM");
-    wait_for("it is not ready", || !deployment.instances[0].ready());
-    let response = read_response(&mut conns[0]).expect("an answer");
+    wait_for("the instance is not ready", || !deployment.instances[0].ready());
+    let response = read_response(&mut conns[0]).expect("a response");
     assert_eq!((response.status, response.text()), (200, body(&booking.id)));
-    let response = read_response(&mut conns[1]).expect("an answer");
+    let response = read_response(&mut conns[1]).expect("a response");
     assert_eq!((response.complete, response.text()), (true, events(&stream.id)));
-    wait_for("it ended", || deployment.instances[0].ended().is_some());
-    assert!(deployment.instances[0].ended().expect("it ended").success());
+    wait_for("the process ends", || deployment.instances[0].ended().is_some());
+    assert!(deployment.instances[0].ended().expect("the process has ended").success());
 }
 
-/// A request that comes while the instance stops is served and asked to use another connection;
-/// a connection that rests is closed.
+/// A request that arrives while the instance stops is served with `Connection: close`, and an idle
+/// connection is closed.
 #[test]
 fn stopping_instance_closes_connections() {
     let mut deployment = Deployment::new(1);
     let mut resting = deployment.connect(0).expect("a connection");
-    resting.write_all(&Request::get("/read/").bytes()).expect("sent");
-    assert_eq!(read_response(&mut resting).expect("an answer").status, 200);
-    // Something in flight keeps the process there.
+    resting.write_all(&Request::get("/read/").bytes()).expect("the request is sent");
+    assert_eq!(read_response(&mut resting).expect("a response").status, 200);
+    // A request in flight keeps the process running.
     for id in ["m1", "m2"] {
         deployment.server(id).set(Fault::Hang);
     }
     let mut held = deployment.connect(0).expect("a connection");
     let request = Request::post("/draft/", "x");
-    held.write_all(&request.bytes()).expect("sent");
-    wait_for("it runs", || deployment.runs(&request.id) == 1);
+    held.write_all(&request.bytes()).expect("the request is sent");
+    wait_for("the request runs", || deployment.runs(&request.id) == 1);
     deployment.instances[0].signal("TERM");
-    wait_for("it is not ready", || !deployment.instances[0].ready());
-    let response = deployment.send(0, &Request::get("/read/")).expect("an answer");
+    wait_for("the instance is not ready", || !deployment.instances[0].ready());
+    let response = deployment.send(0, &Request::get("/read/")).expect("a response");
     assert_eq!(response.status, 200);
     assert_eq!(response.header("connection"), Some("close"));
     let mut byte = [0];
     assert_eq!(resting.read(&mut byte).expect("an orderly close"), 0);
-    let response = read_response(&mut held).expect("an answer at the route's time");
+    let response = read_response(&mut held).expect("an answer at the timeout of the route");
     assert_eq!(response.status, 504);
-    wait_for("it ended", || deployment.instances[0].ended().is_some());
+    wait_for("the process ends", || deployment.instances[0].ended().is_some());
 }
 
-/// A request that is not finished in time is cut: the process ends by itself and says so.
+/// A request that is not finished in time, here by a second signal, is cut: the process ends and logs it.
 #[test]
 fn unfinished_requests_are_cut_and_logged() {
     let mut deployment = Deployment::new(1);
@@ -73,28 +73,31 @@
     }
     let request = Request::post("/draft/", "x");
     let mut held = deployment.connect(0).expect("a connection");
-    held.write_all(&request.bytes()).expect("sent");
-    wait_for("it runs", || deployment.runs(&request.id) == 1);
+    held.write_all(&request.bytes()).expect("the request is sent");
+    wait_for("the request runs", || deployment.runs(&request.id) == 1);
     deployment.instances[0].signal("TERM");
-    wait_for("it is not ready", || !deployment.instances[0].ready());
+    wait_for("the instance is not ready", || !deployment.instances[0].ready());
     deployment.instances[0].signal("TERM");
-    wait_for("it ended", || deployment.instances[0].ended().is_some());
+    wait_for("the process ends", || deployment.instances[0].ended().is_some());
     assert!(deployment.instances[0].log().contains("requests cut: 1"));
-    assert!(read_response(&mut held).is_err(), "no answer that was made up");
+    assert!(read_response(&mut held).is_err(), "a cut request gets no response");
 }
 
-/// A hang-up says that the settings file changed: it is read and checked, and nothing ends.
+/// On a hangup signal the settings file is read and checked again, and the instance goes on, even if the
+/// file is invalid.
 #[test]
 fn hangup_signal_reloads_settings_without_interruption() {
     let mut deployment = Deployment::new(1);
     deployment.instances[0].signal("HUP");
-    wait_for("it is told", || deployment.instances[0].log().contains("settings read again"));
+    wait_for("the reload is logged", || {
+        deployment.instances[0].log().contains("settings read again")
+    });
     std::fs::write(deployment.settings(0), "[instance]\nname = 5\n").expect("written");
     deployment.instances[0].signal("HUP");
-    wait_for("the fault is told", || {
+    wait_for("the invalid setting is logged", || {
         deployment.instances[0].log().contains("instance.name: takes a text")
     });
     let request = Request::get("/read/");
-    assert_eq!(deployment.send(0, &request).expect("an answer").status, 200);
+    assert_eq!(deployment.send(0, &request).expect("a response").status, 200);
     assert!(deployment.instances[0].ended().is_none());
 }
--- a/crates/drumusher/tests/routes/quarantine.rs
+++ b/crates/drumusher/tests/routes/quarantine.rs
@@ -1,11 +1,12 @@
-//! Requests that end each backend server which runs them.
+//! Quarantine of requests that crash each backend server which runs them.
 //!
-//! Callers of a small deployment saw their streams cut and half of their requests fail for most of a minute. One
-//! request crashes every engine that began to run it, some 40 ms later; engines were back after a second or more, and got
-//! it again: by the second attempt of the instance, and by its caller, who came back at one instance after the other. 39
-//! engines crashes, nine of nine at a time, each with all that ran or waited there. Nothing knew the request again: what
-//! fails was remembered by server only. The evidence were the ends of engines, in groups as large as the number of
-//! attempts, each within a tenth of a second after the same path began there.
+//! These tests guard against a failure in which streams were cut and half of all requests failed for most
+//! of a minute. One request crashed every engine that began to run it after some 40 ms. Engines were back
+//! after a second or more and got it again, by the second attempt of the instance and by its caller, who
+//! repeated it at one instance after the other: 39 crashes, nine of nine engines at a time, each with all
+//! requests that ran or waited there. Failures were remembered for each server only, so the request was
+//! never recognized. It showed in crashes in groups as large as the number of attempts, each within a tenth
+//! of a second after the same path began to run.
 
 use std::{
     thread,
@@ -24,29 +25,29 @@
     },
 };
 
-/// Within this after the third end all instances are to know the request.
+/// All instances have to hold the request back from this time after the third crash.
 const DETECTION_TIME: Duration = Duration::from_secs(3);
-/// How often it may reach backend servers later than that.
+/// How often the request may reach backend servers after that time.
 const MAX_LATE_ARRIVALS: usize = 3;
-/// Time between two requests of its caller.
+/// Time between two requests of the caller.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long its caller comes back.
+/// How long the caller repeats the request.
 const REPEAT_DURATION: Duration = Duration::from_secs(9);
-/// A key of the other workspace.
+/// An API key of the other workspace.
 const OTHER_KEY: &str = "key-of-another";
-/// How long it runs before its backend server ends.
+/// How long the request runs before its backend server crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
-/// How long that is down.
+/// How long a crashed server is down.
 const DOWNTIME: Duration = Duration::from_millis(600);
-/// The same where it is not to be back before the test is over.
+/// Downtime of a server that must not come back during the test.
 const LONG_DOWNTIME: Duration = Duration::from_secs(60);
 
-/// Instances, and six backend servers of each service.
+/// A deployment of instances and six backend servers of each service.
 fn deploy(instances: usize) -> Deployment {
     deploy_with(instances, 6)
 }
 
-/// Instances, and so many backend servers of each service.
+/// A deployment of instances and `servers` backend servers of each service.
 fn deploy_with(instances: usize, servers: usize) -> Deployment {
     let mut deployment = Deployment::empty(false);
     for number in 0..servers {
@@ -54,7 +55,7 @@
         deployment.add_server(&format!("m{number}"), MODEL);
     }
     for number in 0..instances {
-        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
         deployment.add_instance_with(&format!("i{number}"), store_endpoint, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &two_workspaces());
@@ -62,20 +63,21 @@
     deployment
 }
 
-/// The configuration of tests with a second workspace.
+/// The configuration of the tests with a second workspace.
 fn two_workspaces() -> String {
     let other = format!(r#""Tenants":[{{"Name":"other","ApiKeys":["{OTHER_KEY}"],"Priority":0}},"#);
     configuration(1, "").replace(r#""Tenants":["#, &other)
 }
 
-/// The answer to a request at an instance: its status and the code of an error.
+/// Sends the request with a new ID to an instance and returns the status and the error code of the
+/// response.
 fn status_and_code(deployment: &Deployment, at: usize, request: &Request) -> (u16, String) {
-    let response = deployment.send(at, &request.with_new_id()).expect("an answer");
+    let response = deployment.send(at, &request.with_new_id()).expect("a response");
     let error = serde_json::from_str::<serde_json::Value>(&response.text()).unwrap_or_default();
     (response.status, error["error"]["code"].as_str().unwrap_or_default().to_string())
 }
 
-/// Comes with a request until it is held back at all instances.
+/// Repeats a request until all instances hold it back.
 fn wait_until_held(deployment: &Deployment, request: &Request) {
     for at in 0..deployment.instances.len() {
         wait_for("the request is held back", || {
@@ -84,7 +86,7 @@
     }
 }
 
-/// How backend servers of a service end under a path.
+/// A crash of a backend server of the service when it runs a request for the path.
 fn crash_on_path(deployment: &Deployment, service: &str, path: &str, renamed: bool) -> Crash {
     Crash {
         path: path.into(),
@@ -96,12 +98,12 @@
     }
 }
 
-/// Lets the backend servers whose names begin with `prefix` end under a path.
+/// Makes the backend servers whose IDs begin with `prefix` crash on requests for a path.
 fn crash_servers_on(deployment: &Deployment, prefix: &str, path: &str, renamed: bool) {
     crash_servers_on_for(deployment, prefix, path, renamed, DOWNTIME);
 }
 
-/// The same, and they are down for a time.
+/// The same with another downtime.
 fn crash_servers_on_for(
     deployment: &Deployment,
     prefix: &str,
@@ -116,20 +118,20 @@
     }
 }
 
-/// When backend servers crashes, first one first.
+/// The times at which backend servers crashed, in order.
 fn crash_times(deployment: &Deployment) -> Vec<Instant> {
     let mut times: Vec<Instant> = deployment.servers.iter().flat_map(Server::crashes).collect();
     times.sort();
     times
 }
 
-/// What reached backend servers for a path.
+/// The requests for a path that reached backend servers.
 fn arrivals(deployment: &Deployment, path: &str) -> Vec<Run> {
     let runs = deployment.servers.iter().flat_map(Server::runs);
     runs.filter(|run| run.request.path() == path).collect()
 }
 
-/// How many arrivals came later than the instances are to know a request that ends its backend servers.
+/// Number of arrivals after the time at which all instances have to hold the request back.
 fn late_arrivals(deployment: &Deployment, path: &str) -> usize {
     let Some(third) = crash_times(deployment).get(2).copied() else {
         return 0;
@@ -138,8 +140,7 @@
     arrivals.iter().filter(|run| run.at > third + DETECTION_TIME).count()
 }
 
-/// A caller who sends the same request to one instance after the other, each time without waiting for the answer
-/// before, for a time.
+/// Sends the same request to one instance after the other for a time, without waiting for responses.
 fn repeat_request(deployment: &Deployment, request: &Request, time: Duration) {
     let since = Instant::now();
     thread::scope(|scope| {
@@ -155,9 +156,9 @@
     });
 }
 
-/// A request under which three backend servers crashes reaches backend servers no more than three times later than
-/// three seconds after that, wherever and however often it comes: plain ones and streams, and whether the backend
-/// servers are back under their names or under new ones.
+/// From three seconds after it crashed three backend servers, a request reaches backend servers at most
+/// three more times, at whichever instance and however often it arrives. This holds for plain requests and
+/// streams, and for servers that come back under the same ID or a new one.
 #[test]
 fn crashing_request_is_quarantined() {
     thread::scope(|scope| {
@@ -174,11 +175,11 @@
     crash_servers_on(&deployment, if path.starts_with("/read") { "d" } else { "m" }, path, renamed);
     repeat_request(&deployment, &Request::get(path), REPEAT_DURATION);
     let crashes = crash_times(&deployment).len();
-    assert!(crashes >= 3, "the request ends backend servers");
+    assert!(crashes >= 3, "the request crashes backend servers");
     let late_arrivals = late_arrivals(&deployment, path);
     assert!(
         late_arrivals <= MAX_LATE_ARRIVALS,
-        "{path}, renamed {renamed}: {late_arrivals} arrivals too late; {crashes} servers ended"
+        "{path}, renamed {renamed}: {late_arrivals} arrivals too late; {crashes} servers crashed"
     );
     wait_for("other requests are served", || {
         let other = Request::get("/read/other");
@@ -186,38 +187,43 @@
     });
 }
 
-/// What was seen of a request outlives all instances: they are all killed after each end, which is written by then.
+/// The evidence against a request survives the death of all instances: they are killed after each crash,
+/// once its record is written to the store.
 #[test]
 fn quarantine_survives_the_death_of_all_instances() {
-    // A server that is back before its entry says so runs the request as one that crashes before, so
-    // that its next end is not a new one. None is back, and there are more than may end.
+    // A server that is back before its new entry is known would run the request as the start that crashed
+    // before, so its next crash would not count as a new one. So none comes back during the test, and there
+    // are more servers than may crash.
     let mut deployment = deploy_with(2, 12);
     crash_servers_on_for(&deployment, "d", "/open/x", false, LONG_DOWNTIME);
     let request = Request::get("/open/x");
-    // Lines are added to those of processes before.
+    // A restarted process appends to the log of the processes before it.
     let written = |deployment: &Deployment| -> usize {
         deployment.instances.iter().map(|i| i.log().matches("was written").count()).sum()
     };
     for round in 1..=3 {
         let before = written(&deployment);
-        deployment.send(round % 2, &request.with_new_id()).expect("an answer");
-        wait_for("the end is written", || written(&deployment) > before);
+        deployment.send(round % 2, &request.with_new_id()).expect("a response");
+        wait_for("the record of the crash is written", || written(&deployment) > before);
         for instance in &mut deployment.instances {
             instance.signal("KILL");
             wait_for("the process is gone", || instance.ended().is_some());
         }
         deployment.instances.iter_mut().for_each(Instance::restart);
-        wait_for("all serve", || {
+        wait_for("all instances serve", || {
             (0..2).all(|at| status_and_code(&deployment, at, &Request::get("/read/")).0 == 200)
         });
     }
     assert_eq!(crash_times(&deployment).len(), 3);
     repeat_request(&deployment, &request, 2 * DETECTION_TIME);
     assert!(late_arrivals(&deployment, &request.path) <= MAX_LATE_ARRIVALS);
-    assert!(crash_times(&deployment).len() <= 3 + MAX_LATE_ARRIVALS, "two trials hold it back");
+    assert!(
+        crash_times(&deployment).len() <= 3 + MAX_LATE_ARRIVALS,
+        "two trial runs suffice to hold the request back"
+    );
 }
 
-/// Several such requests come at all instances at the same moment, before anybody knows them.
+/// Several such requests arrive at all instances at once, before any is quarantined.
 #[test]
 fn concurrent_crashing_requests_are_quarantined() {
     let deployment = deploy(3);
@@ -237,10 +243,10 @@
     for request in &requests {
         (0..3).for_each(|at| assert_eq!(status_and_code(&deployment, at, request).1, "held_back"));
     }
-    assert_eq!(crash_times(&deployment).len(), crashes, "none runs any more");
+    assert_eq!(crash_times(&deployment).len(), crashes, "held requests do not run");
 }
 
-/// A stream that was beside such a request each time is innocent: it is served, whole.
+/// A stream that ran beside such a request at each crash is innocent: it is still served completely.
 #[test]
 fn innocent_concurrent_requests_are_served() {
     let deployment = deploy_with(2, 2);
@@ -256,37 +262,39 @@
     }
     wait_until_held(&deployment, &culprit);
     let request = innocent.with_new_id();
-    wait_for("the other one is served", || status_and_code(&deployment, 1, &innocent).0 == 200);
-    let response = deployment.send(0, &request).expect("an answer");
+    wait_for("the innocent request is served", || {
+        status_and_code(&deployment, 1, &innocent).0 == 200
+    });
+    let response = deployment.send(0, &request).expect("a response");
     assert_eq!((response.status, response.text()), (200, events(&request.id)));
 }
 
-/// An instance that starts later knows it, a workspace that sends an equal request has another one, and an operator sees
-/// it with the evidence and lets it go.
+/// An instance that starts later knows the quarantine, an equal request of another workspace is not
+/// affected, and an operator sees the request with the evidence and can release it.
 #[test]
 fn quarantine_reaches_new_instances_and_can_be_released() {
     let mut deployment = deploy(1);
     crash_servers_on(&deployment, "d", "/read/x", false);
     let request = Request::get("/read/x");
     wait_until_held(&deployment, &request);
-    let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+    let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
     deployment.add_instance_with("later", store_endpoint, OPERATOR);
-    wait_for("the new one serves", || {
+    wait_for("the new instance serves", || {
         status_and_code(&deployment, 1, &Request::get("/read/")).0 == 200
     });
     let reached = arrivals(&deployment, &request.path).len();
-    wait_for("the new one knows", || {
+    wait_for("the new instance knows the quarantine", || {
         operator_query(&deployment.instances[1], "show quarantine").contains("held")
     });
-    let refused = deployment.send(1, &request.with_new_id()).expect("an answer");
+    let refused = deployment.send(1, &request.with_new_id()).expect("a response");
     assert_eq!(refused.status, 502);
-    assert_eq!(refused.header("retry-after"), None, "it is final");
+    assert_eq!(refused.header("retry-after"), None, "the refusal is final");
     assert!(refused.text().contains(r#""ran":"no""#), "{}", refused.text());
     assert_eq!(arrivals(&deployment, &request.path).len(), reached);
 
     deployment.servers.iter().for_each(|server| server.crash_on(None));
     let other = request.clone().without("Api-Key").with("Api-Key", OTHER_KEY);
-    wait_for("the other workspace's is served", || {
+    wait_for("the request of the other workspace is served", || {
         status_and_code(&deployment, 1, &other).0 == 200
     });
     assert_eq!(status_and_code(&deployment, 1, &request).1, "held_back");
@@ -296,26 +304,29 @@
     assert_eq!((row["workspace"].as_str(), row["route"].as_str()), (Some("vanua"), Some("read")));
     assert!(row["ended_on_trial"].as_array().is_some_and(|ended| ended.len() >= 2), "{row}");
     assert!(deployment.instances[0].metric(&["drumusher_quarantine_held"]) >= 1.0);
-    let digest = row["request"].as_str().expect("its digest");
+    let digest = row["request"].as_str().expect("the digest of the request");
     assert!(
         operator_query(&deployment.instances[1], &format!("release {digest}")).contains("accepted")
     );
     for at in 0..2 {
-        wait_for("it is served again", || status_and_code(&deployment, at, &request).0 == 200);
+        wait_for("the released request is served", || {
+            status_and_code(&deployment, at, &request).0 == 200
+        });
     }
 }
 
-/// How an instance is out of touch while servers end.
+/// How an instance is isolated while servers crash.
 #[derive(Clone, Copy, Debug)]
 enum Isolation {
-    /// It is stopped, as a suspended machine is.
+    /// It is paused, like a suspended machine.
     Frozen,
-    /// It reaches neither the store nor another instance, which reach each other through the store only.
+    /// It reaches neither the store nor another instance; the others reach each other only through the
+    /// store.
     CutOff,
 }
 
-/// An instance that was out of touch while servers crashes knows the request soon after it is back: it reaches no server
-/// there later than three seconds after that.
+/// An instance that was isolated while servers crashed learns the quarantine soon after it is back: from
+/// three seconds later on, the request reaches servers at most three more times.
 #[rstest]
 #[case(Isolation::Frozen)]
 #[case(Isolation::CutOff)]
@@ -323,12 +334,12 @@
     let mut deployment = Deployment::empty(true);
     (0..6).for_each(|number| deployment.add_server(&format!("d{number}"), DESK));
     for number in 0..3 {
-        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
         deployment.add_instance_with(&format!("i{number}"), store_endpoint, OPERATOR);
     }
     deployment.store.put("keyed.op", "config", &two_workspaces());
     let serves = |at| status_and_code(&deployment, at, &Request::get("/read/")).0 == 200;
-    wait_for("all serve", || (0..3).all(serves));
+    wait_for("all instances serve", || (0..3).all(serves));
     wait_for("all are listed", || {
         let listed = operator_query(&deployment.instances[2], "show instances");
         (0..3).all(|at| listed.contains(&format!("\"i{at}\"")))
@@ -336,7 +347,8 @@
     crash_servers_on(&deployment, "d", "/read/x", true);
     let request = Request::get("/read/x");
     let isolated = &deployment.instances[2];
-    let relays = |at: usize| deployment.instances[at].relays.as_ref().expect("it has relays");
+    let relays =
+        |at: usize| deployment.instances[at].relays.as_ref().expect("the instance has relays");
     let cut = |mode| {
         (0..3).for_each(|at| relays(at).peers.set(mode));
         relays(2).store.set(mode);
@@ -361,7 +373,10 @@
         thread::sleep(REPEAT_INTERVAL);
     }
     let rows = operator_query(&deployment.instances[2], "show quarantine where verdict = held");
-    assert!(rows.contains("vanua"), "it knows it itself, whoever dispatches: {rows}");
+    assert!(
+        rows.contains("vanua"),
+        "the instance knows the quarantine itself, whichever dispatches: {rows}"
+    );
     let after = arrivals(&deployment, &request.path);
     let late_arrivals = after.iter().filter(|run| run.at > since + DETECTION_TIME).count();
     assert!(
@@ -372,7 +387,7 @@
     assert_eq!(status_and_code(&deployment, 2, &request).1, "held_back");
 }
 
-/// A connection that is reset, or an answer that is cut, is no end of a backend server.
+/// A reset connection or a truncated response is not taken for a crash of the backend server.
 #[rstest]
 #[case(Fault::Reset)]
 #[case(Fault::Cut)]
@@ -387,13 +402,13 @@
     assert_eq!(
         operator_query(&deployment.instances[0], "show quarantine"),
         "",
-        "before an answer clears it"
+        "no record, even before a success clears it"
     );
     deployment.servers.iter().for_each(|server| server.set(Fault::None));
-    wait_for("it is served", || status_and_code(&deployment, 0, &request).0 == 200);
+    wait_for("the request is served", || status_and_code(&deployment, 0, &request).0 == 200);
 }
 
-/// The end of a backend server that leaves says nothing of what ran there.
+/// The crash of a leaving backend server is no evidence against the requests that ran there.
 #[test]
 fn crash_of_a_leaving_server_is_ignored() {
     let deployment = deploy_with(1, 2);
@@ -403,16 +418,16 @@
     thread::scope(|scope| {
         let responses: Vec<_> =
             (0..4).map(|_| scope.spawn(|| status_and_code(&deployment, 0, &request).0)).collect();
-        wait_for("they run", || arrivals(&deployment, &request.path).len() >= 4);
+        wait_for("the requests run", || arrivals(&deployment, &request.path).len() >= 4);
         for server in desks() {
             let entry = server.entry(DESK, "draining");
             deployment.store.put("keyed.servers", &server.id, &entry);
         }
-        wait_for("it is known who leaves", || {
+        wait_for("the leaving servers are known", || {
             desks().all(|server| knows_left(&deployment.instances[0], &server.id))
         });
         desks().for_each(|server| server.crash(&crash_on_path(&deployment, DESK, "/", false)));
-        assert!(responses.into_iter().all(|response| response.join().expect("an answer") != 200));
+        assert!(responses.into_iter().all(|response| response.join().expect("a response") != 200));
     });
     assert_eq!(operator_query(&deployment.instances[0], "show quarantine"), "");
 }
--- a/crates/drumusher/tests/routes/restore.rs
+++ b/crates/drumusher/tests/routes/restore.rs
@@ -1,4 +1,4 @@
-//! The store comes back from a copy: what was written last is gone and offsets are given out again.
+//! Restores of the store from a backup: the latest records are lost, and their offsets are assigned again.
 
 use std::{
     collections::BTreeMap,
@@ -16,11 +16,12 @@
     uncertain_removals::removals_accepted,
 };
 
-/// The shortest pause between two calls about one table that bring nothing, and those about four tables.
+/// Shortest pause between two store calls about one table that return nothing.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Tables that an instance reads from the store.
 const TABLES: u128 = 4;
 
-/// How the log ends once the newest version is written again.
+/// Where the log ends once the newest version is written again, compared to its end before the restore.
 #[derive(Clone, Copy, Debug)]
 enum LogEnd {
     Before,
@@ -45,18 +46,18 @@
 fn wait_registered(deployment: &Deployment) {
     for at in 0..deployment.instances.len() {
         let name = format!("i{at}");
-        wait_for("the instance is entered", || {
+        wait_for("the instance is registered", || {
             deployment.store.newest("keyed.instances", &name).is_some()
         });
     }
 }
 
-/// The store is away until every instance knows, and comes back from the copy.
+/// Makes the store unavailable until every instance has noticed, and restores it from the backup.
 fn restore(deployment: &Deployment, snapshot: &Snapshot) {
     restore_with(deployment, snapshot, || {});
 }
 
-/// The same, with what others write before an instance reads.
+/// The same, with records that are written after the restore and before an instance reads the store.
 fn restore_with(deployment: &Deployment, snapshot: &Snapshot, write: impl FnOnce()) {
     let outages =
         |at: usize| deployment.instances[at].log().matches("what is in force stays").count();
@@ -66,7 +67,7 @@
         .iter()
         .for_each(|instance| instance.store_endpoint.set_outage(Outage::Reset));
     for (at, before) in before.into_iter().enumerate() {
-        wait_for("the outage is known", || outages(at) > before);
+        wait_for("the outage is logged", || outages(at) > before);
     }
     deployment.store.restore(snapshot);
     write();
@@ -76,7 +77,7 @@
         .for_each(|instance| instance.store_endpoint.set_outage(Outage::None));
 }
 
-/// Versions that are written after a restore come into force, wherever the log ends then.
+/// Versions that are written after a restore are applied, wherever the log ends then.
 #[rstest]
 fn version_written_after_a_restore_is_applied(
     #[values(LogEnd::Before, LogEnd::Same, LogEnd::Beyond)] end: LogEnd,
@@ -103,7 +104,7 @@
     wait_served(&deployment, "/next/");
 }
 
-/// The same where nobody saw the store away, and one instance is paused over two restores.
+/// The same when no instance noticed an outage and one instance is paused during two restores.
 #[test]
 fn restore_without_failed_calls_is_detected() {
     let deployment = Deployment::new(3);
@@ -126,7 +127,8 @@
     wait_served(&deployment, "/next/");
 }
 
-/// Calls that bring nothing are paced, also at a store whose log is shorter than it was and which does not say why.
+/// Store calls that return nothing are paced, even if the log of the store has become shorter and the store
+/// does not report a new era.
 #[test]
 fn store_calls_are_paced_after_an_unannounced_restore() {
     let mut deployment = Deployment::empty(false);
@@ -147,7 +149,8 @@
     assert!(made <= paced, "{made} calls about one of {TABLES} tables, {paced} are paced");
 }
 
-/// An instance that starts while the store holds an older version takes the one in force from the others.
+/// An instance that starts while the store holds an older version gets the current one from the other
+/// instances.
 #[test]
 fn instance_started_after_a_restore_gets_the_current_version() {
     let mut deployment = Deployment::new(2);
@@ -160,12 +163,13 @@
         let logged = |at: usize| deployment.instances[at].log().contains("came back from a copy");
         logged(0) && logged(1)
     };
-    wait_for("the restore is known", noticed);
+    wait_for("the restore is logged", noticed);
     deployment.add_instance("i2");
     wait_served(&deployment, "/lost/");
 }
 
-/// One that read the copy itself, while nobody could tell it, takes the version in force as soon as it hears of it.
+/// An instance that read the restored store while no other instance was reachable gets the current version
+/// once it can reach one.
 #[test]
 fn instance_that_read_the_old_copy_catches_up() {
     let mut deployment = Deployment::empty(true);
@@ -182,7 +186,7 @@
         deployment.instances[at].log().contains(text)
     };
     for at in 0..2 {
-        wait_for("the restore is known", || logged(&deployment, at, "came back from a copy"));
+        wait_for("the restore is logged", || logged(&deployment, at, "came back from a copy"));
     }
     let set = |deployment: &Deployment, mode: Mode| {
         let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
@@ -191,15 +195,17 @@
     set(&deployment, Mode::Mute);
     deployment.add_instance("i2");
     set(&deployment, Mode::Mute);
-    wait_for("it read the copy", || logged(&deployment, 2, r#"{"version":"1"}"#));
-    // What it asked before it read the copy is not to arrive.
+    wait_for("the instance read the restored store", || {
+        logged(&deployment, 2, r#"{"version":"1"}"#)
+    });
+    // Requests that it sent to other instances before it read the restored store must not arrive.
     let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
     relays.for_each(|relays| relays.peers.reset());
     set(&deployment, Mode::Open);
     wait_served(&deployment, "/lost/");
 }
 
-/// Entries of instances that were lost are written again, and all requests are served meanwhile.
+/// Lost entries of instances are written again, and all requests are served meanwhile.
 #[test]
 fn instance_entries_are_rewritten_after_a_restore() {
     let mut deployment = Deployment::empty(false);
@@ -218,7 +224,8 @@
     wait_registered(&deployment);
 }
 
-/// A backend server whose entry was lost is used on, also once it is written again; one that is not is gone.
+/// A backend server whose entry was lost stays in use, and remains so once the entry is written again; a
+/// server whose entry is not written again is removed.
 #[test]
 fn lost_server_entries_are_kept_until_rewritten() {
     let mut deployment = Deployment::empty(false);
@@ -234,23 +241,25 @@
         deployment.instances[at].log().contains(&format!("\"server\":\"{id}\""))
     };
     (0..3).for_each(|at| {
-        wait_for("the servers are known", || known(at, "d2") && known(at, "d3"));
+        wait_for("the new servers are logged", || known(at, "d2") && known(at, "d3"));
     });
     restore(&deployment, &snapshot);
     let entry = deployment.server("d2").entry(DESK, "ready");
     deployment.store.put("keyed.servers", "d2", &entry);
     for instance in &deployment.instances {
-        wait_for("the server that is not back is gone", || removals_accepted(instance, "d3") > 0);
-        assert_eq!(removals_accepted(instance, "d2"), 0, "the one that is back never left");
+        wait_for("the removal of the missing server is accepted", || {
+            removals_accepted(instance, "d3") > 0
+        });
+        assert_eq!(removals_accepted(instance, "d2"), 0, "the rewritten server was never removed");
     }
     let before = deployment.server("d2").runs().len();
-    wait_for("the one that is back is used", || {
+    wait_for("the rewritten server is used", || {
         (0..3).for_each(|at| assert!(serves(&deployment, at, "/read/")));
         deployment.server("d2").runs().len() > before
     });
 }
 
-/// A backend server that was known to leave gets nothing new although the copy holds its entry of before.
+/// A leaving backend server gets no new requests although the backup holds its earlier entry.
 #[test]
 fn leaving_server_stays_leaving_after_a_restore() {
     let deployment = Deployment::new(1);
@@ -258,11 +267,11 @@
     let leaving = deployment.server("d1").entry(DESK, "draining");
     deployment.store.put("keyed.servers", "d1", &leaving);
     let logged = |text: &str| deployment.instances[0].log().contains(text);
-    wait_for("it is known", || logged("\"leaving\":\"true\""));
+    wait_for("the server is logged as leaving", || logged("\"leaving\":\"true\""));
     restore(&deployment, &snapshot);
     let entry = deployment.server("d2").entry(DESK, "ready");
     deployment.store.put("keyed.servers", "d9", &entry);
-    wait_for("the copy was read", || logged("\"server\":\"d9\""));
+    wait_for("the restored store was read", || logged("\"server\":\"d9\""));
     let before = deployment.server("d1").runs().len();
     for _ in 0..12 {
         assert!(serves(&deployment, 0, "/read/"));
@@ -270,8 +279,8 @@
     assert_eq!(deployment.server("d1").runs().len(), before);
 }
 
-/// The holder goes on after a restore, also one of which the copy knows nothing: tokens rise, one acts at a time, and all
-/// usage is reported.
+/// The holder of the duties continues after a restore, even if the backup is older than its tenure: fencing
+/// tokens rise, one instance acts at a time, and all usage is reported.
 #[rstest]
 fn duties_continue_after_a_restore(#[values(false, true)] holder_changed: bool) {
     let (mut deployment, duties) = deploy(3);
@@ -282,7 +291,7 @@
         move_duties(&mut deployment, &duties);
     }
     let other = (0..3).find(|at| holder(&duties).is_some_and(|now| now != format!("i{at}")));
-    send_requests(&deployment, other.expect("two are not the holder"), 3);
+    send_requests(&deployment, other.expect("an instance is not the holder"), 3);
     deployment.store.restore(&snapshot);
     for at in 0..3 {
         send_requests(&deployment, at, 3);
@@ -291,7 +300,8 @@
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
-/// The holder is lost with what it wrote last: no window is reported twice, and what runs later is reported.
+/// The holder and its latest records are lost: no usage window is reported twice, and later requests are
+/// reported.
 #[rstest]
 fn usage_is_reported_once_when_the_holder_and_its_records_are_lost(
     #[values(false, true)] killed: bool,
@@ -302,11 +312,13 @@
     let snapshot = deployment.store.snapshot();
     send_requests(&deployment, 0, 3);
     wait_usage_reported(&deployment, &duties);
-    let first = holder(&duties).expect("one has the duties");
-    let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
+    let first = holder(&duties).expect("an instance holds the duties");
+    let at = (0..3)
+        .find(|at| first == format!("i{at}"))
+        .expect("the holder is an instance of the deployment");
     if killed {
         deployment.instances[at].signal("KILL");
-        wait_for("it is gone", || deployment.instances[at].ended().is_some());
+        wait_for("the process is gone", || deployment.instances[at].ended().is_some());
         deployment.store.restore(&snapshot);
     } else {
         restore(&deployment, &snapshot);
@@ -315,17 +327,17 @@
     wait_for("the window is over", || current_window() > since);
     let others = (0..3).filter(|other| *other != at).cycle().take(6);
     others.for_each(|other| send_requests(&deployment, other, 1));
-    wait_for("what ran is reported", || reported_since(&duties, since) == 12);
+    wait_for("all later requests are reported", || reported_since(&duties, since) == 12);
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
 }
 
-/// The number of the window of usage now.
+/// Number of the current usage window.
 fn current_window() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
     now.as_millis() as u64 / WINDOW_MS
 }
 
-/// Requests reported in windows after one.
+/// Number of requests reported for windows after this one.
 fn reported_since(duties: &Duties, window: u64) -> u64 {
     let mut counts = BTreeMap::new();
     for duty_call in
@@ -337,14 +349,18 @@
     counts.range(window + 1..).map(|(_, count)| count).sum()
 }
 
-/// The holder is killed, another one takes the duties, and the first one starts again.
+/// Kills the holder of the duties, waits until another instance holds them, and restarts the first one.
 fn move_duties(deployment: &mut Deployment, duties: &Duties) {
-    let first = holder(duties).expect("one has the duties");
-    let at = (0..3).find(|at| first == format!("i{at}")).expect("it is one of them");
+    let first = holder(duties).expect("an instance holds the duties");
+    let at = (0..3)
+        .find(|at| first == format!("i{at}"))
+        .expect("the holder is an instance of the deployment");
     deployment.instances[at].signal("KILL");
-    wait_for("it is gone", || deployment.instances[at].ended().is_some());
+    wait_for("the process is gone", || deployment.instances[at].ended().is_some());
     send_requests(deployment, (at + 1) % 3, 3);
-    wait_for("another has the duties", || holder(duties).is_some_and(|now| now != first));
+    wait_for("another instance holds the duties", || {
+        holder(duties).is_some_and(|now| now != first)
+    });
     deployment.instances[at].restart();
-    wait_for("it serves", || serves(deployment, at, "/read/"));
+    wait_for("the instance serves", || serves(deployment, at, "/read/"));
 }
--- a/crates/drumusher/tests/routes/streams.rs
+++ b/crates/drumusher/tests/routes/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: whole events, each once; resumed elsewhere, or cut so that they do not look whole.
+//! Streams: complete events, each once; resumed on another backend server, or cut so that they do not look
+//! complete.
 
 use std::io::{Read, Write};
 
@@ -11,7 +12,8 @@
 
 use crate::support::{Deployment, Request, configuration, read_response};
 
-/// A stream that may be resumed goes on elsewhere after its last whole event, in the same answer.
+/// A resumable stream continues on another backend server after its last complete event, in the same
+/// response.
 #[test]
 fn resumable_stream_continues_on_another_server() {
     let deployment = Deployment::new(1);
@@ -19,15 +21,15 @@
     let mut resumed = 0;
     for _ in 0..8 {
         let request = Request::post("/talk/", "x");
-        let response = deployment.send(0, &request).expect("an answer");
+        let response = deployment.send(0, &request).expect("a response");
         assert_eq!((response.status, response.text()), (200, events(&request.id)));
         assert!(response.complete);
         resumed += usize::from(deployment.runs(&request.id) == 2);
     }
-    assert!(resumed > 0, "some began at the server that breaks");
+    assert!(resumed > 0, "some streams began at the failing server");
 }
 
-/// One that may not be resumed is cut: whole events only, no end, and not run again.
+/// A non-resumable stream is cut after a complete event, without an end of the body, and is not run again.
 #[test]
 fn non_resumable_stream_is_cut_without_an_end() {
     let deployment = Deployment::new(1);
@@ -36,20 +38,20 @@
     }
     let request = Request::post("/draft/", "x");
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&request.bytes()).expect("sent");
+    conn.write_all(&request.bytes()).expect("the request is sent");
     let mut first = vec![0; 4_096];
-    let count = conn.peek(&mut first).expect("the beginning");
+    let count = conn.peek(&mut first).expect("the first bytes");
     assert!(count > 0);
     for id in ["m1", "m2"] {
         deployment.server(id).set(Fault::None);
     }
-    let response = read_response(&mut conn).expect("an answer");
+    let response = read_response(&mut conn).expect("a response");
     assert_eq!((response.status, response.complete), (200, false));
     assert_eq!(response.text(), event(&request.id, 1));
     assert_eq!(deployment.runs(&request.id), 1);
 }
 
-/// Before its first event a stream that may not be resumed ends with a clear answer.
+/// A non-resumable stream that fails before its first event gets a complete error response.
 #[rstest]
 #[case(Fault::Reset, 502)]
 #[case(Fault::Hang, 504)]
@@ -61,24 +63,24 @@
     let deployment = Deployment::new(1);
     deployment.server("m1").set(fault);
     deployment.server("m2").set(fault);
-    let response = deployment.send(0, &Request::post("/draft/", "x")).expect("an answer");
+    let response = deployment.send(0, &Request::post("/draft/", "x")).expect("a response");
     assert_eq!(response.status, status);
     assert!(response.complete);
 }
 
-/// A server that says nothing is left for another one where the stream may be resumed.
+/// A resumable stream moves from a silent server to another one.
 #[test]
 fn resumable_stream_moves_off_a_silent_server() {
     let deployment = Deployment::new(1);
     deployment.server("m1").set(Fault::Hang);
     for _ in 0..3 {
         let request = Request::post("/talk/", "x");
-        let response = deployment.send(0, &request).expect("an answer");
+        let response = deployment.send(0, &request).expect("a response");
         assert_eq!((response.status, response.text()), (200, events(&request.id)));
     }
 }
 
-/// One that has a long prompt to read is given the time that its dispatcher expects it to take.
+/// A server that processes a long prompt gets the time that the dispatcher expects the prompt to take.
 #[test]
 fn long_prompt_gets_its_expected_time() {
     let deployment = Deployment::new(1);
@@ -90,41 +92,41 @@
         .without("Drumusher-Prompt-Prefix")
         .with("Drumusher-Token-Usage", "200000,60")
         .with("Drumusher-Prompt-Prefix", "a7:200000");
-    let response = deployment.send(0, &request).expect("an answer");
+    let response = deployment.send(0, &request).expect("a response");
     assert_eq!((response.status, response.text()), (200, events(&request.id)));
     assert_eq!(
         deployment.runs(&request.id),
         1,
-        "twice the target passed, but not what is expected"
+        "twice the target passed, but not the expected time"
     );
 }
 
-/// A caller that resumes a stream by itself gets the rest only.
+/// A caller that resumes a stream with `Last-Event-Id` gets only the remaining events.
 #[test]
 fn caller_can_resume_with_last_event_id() {
     let deployment = Deployment::new(1);
     let request = Request::post("/talk/", "x").with("Last-Event-Id", "5");
-    let response = deployment.send(0, &request).expect("an answer");
+    let response = deployment.send(0, &request).expect("a response");
     let rest: String = (6..=12).map(|number| event(&request.id, number)).collect();
     assert_eq!((response.status, response.text()), (200, rest));
 }
 
-/// A caller that leaves in the middle of a stream frees the engine.
+/// When a caller disconnects during a stream, the connection to the engine is closed.
 #[test]
 fn caller_disconnect_frees_the_engine() {
     let deployment = Deployment::new(1);
     let mut conn = deployment.connect(0).expect("a connection");
-    conn.write_all(&Request::post("/draft/", "x").bytes()).expect("sent");
+    conn.write_all(&Request::post("/draft/", "x").bytes()).expect("the request is sent");
     let mut piece = [0; 64];
     assert!(conn.read(&mut piece).expect("the first events") > 0);
     drop(conn);
     let gone = || {
         deployment.server("m1").client_disconnects() + deployment.server("m2").client_disconnects()
     };
-    wait_for("the engine sees the close", || gone() == 1);
+    wait_for("the engine sees the disconnect", || gone() == 1);
 }
 
-/// An engine that gets a prompt of which a busy one keeps the beginning is told where to copy it.
+/// An engine that gets a prompt whose prefix a busy engine has cached is told to copy it from there.
 #[test]
 fn busy_server_is_named_as_cache_source() {
     let deployment = Deployment::new(1);
@@ -138,15 +140,15 @@
     };
     let named = (1..50).find_map(|shared| {
         let first = prompt(shared, 9_000, 1);
-        deployment.send(0, &first).expect("an answer");
+        deployment.send(0, &first).expect("a response");
         let ran = |id: &str, at: usize| servers[at].runs().iter().any(|run| run.id == id);
         let keeper = usize::from(ran(&first.id, 1));
-        // While it is silent over a long prompt, it is believed to read.
+        // While it is silent after a long prompt, the dispatcher takes it to be processing the prompt.
         servers[keeper].set(Fault::Hang);
         let long = prompt(shared, 9_000, 90_000);
         let mut busy = deployment.connect(0).expect("a connection");
-        busy.write_all(&long.bytes()).expect("sent");
-        wait_for("the long prompt is read", || ran(&long.id, keeper));
+        busy.write_all(&long.bytes()).expect("the request is sent");
+        wait_for("the long prompt is running", || ran(&long.id, keeper));
         let next = prompt(shared, 9_000, 2);
         let runs = servers[1 - keeper].runs().len();
         drop(deployment.send(0, &next));
@@ -156,11 +158,12 @@
         let run = runs.into_iter().find(|run| run.id == next.id)?;
         Some((run.request.header("kv-fetch").map(String::from), servers[keeper].address))
     });
-    let (source, keeper) = named.expect("it is tried until the keeper is believed to be busy");
+    let (source, keeper) =
+        named.expect("an attempt at which the caching engine is taken to be busy");
     assert_eq!(source, Some(keeper.to_string()));
 }
 
-/// A dispatcher that begins to place prompts asks each engine once what it keeps, and goes by that.
+/// A new dispatcher asks each engine once for its cached prompt parts and places prompts accordingly.
 #[test]
 fn new_dispatcher_queries_engine_caches() {
     let deployment = Deployment::unconfigured(1);
@@ -171,9 +174,9 @@
     }
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
     deployment.wait_serving();
-    deployment.send(0, &Request::post("/talk/", "x")).expect("an answer");
+    deployment.send(0, &Request::post("/talk/", "x")).expect("a response");
     let logged = || deployment.instances[0].log().matches("an engine told what it keeps").count();
-    wait_for("both engines told what they keep", || logged() == 2);
+    wait_for("both engines reported their cached parts", || logged() == 2);
     for (server, id) in [(1, "m1"), (2, "m2")] {
         for (part, tokens) in kept(server) {
             let request = Request::post("/talk/", "x")
@@ -181,7 +184,7 @@
                 .without("Drumusher-Prompt-Prefix")
                 .with("Drumusher-Token-Usage", &format!("{},60", tokens + 1))
                 .with("Drumusher-Prompt-Prefix", &format!("{part:x}:{tokens},f{part:x}:1"));
-            deployment.send(0, &request).expect("an answer");
+            deployment.send(0, &request).expect("a response");
             let ran = deployment.server(id).runs().iter().any(|run| run.id == request.id);
             assert!(ran, "part {part:x} of {id}: {}", deployment.instances[0].log());
         }
