--- a/crates/drumusher/tests/routes/soak/caller.rs
+++ b/crates/drumusher/tests/routes/soak/caller.rs
@@ -1,5 +1,5 @@
-//! A caller: sends requests to any instance, on kept and new connections, leaves now and then, and
-//! checks each answer.
+//! A caller that sends requests to random instances on persistent and new connections, sometimes
+//! disconnects early, and checks each response.
 
 use std::{
     collections::HashMap,
@@ -15,20 +15,20 @@
 use super::journal::{self, Journal};
 use crate::support::{Deployment, Request, read_response};
 
-/// A caller waits so long for the next byte of an answer: longer than its route allows.
+/// Longest wait for the next byte of a response, longer than the timeout of the routes.
 const READ_TIMEOUT: Duration = Duration::from_millis(3_600);
 /// Time between two requests of a caller, in milliseconds.
 const REQUEST_INTERVAL_MS: std::ops::Range<u64> = 5..60;
-/// Part of the requests whose caller leaves before the answer.
+/// Share of the requests whose caller disconnects before the response.
 const ABANDON_PROBABILITY: f64 = 0.05;
-/// Part of the requests that ask which version of the configuration is in force.
+/// Share of the requests that probe which version of the configuration is applied.
 const PROBE_PROBABILITY: f64 = 0.15;
-/// Part of the requests on a kept connection, where there is one.
+/// Share of the requests that reuse a persistent connection where there is one.
 const REUSE_PROBABILITY: f64 = 0.7;
-/// A version that is asked for is at most so much older than the newest.
+/// A probed version is less than this many versions older than the newest.
 const MAX_VERSION_LAG: u64 = 3;
 
-/// A caller.
+/// A caller with its own random sequence and persistent connections.
 pub struct Caller<'a> {
     number: u64,
     random: StdRng,
@@ -37,14 +37,14 @@
     kept: HashMap<usize, TcpStream>,
 }
 
-/// Where callers reach the instances.
+/// The addresses at which callers reach the instances, through relays.
 pub fn addresses(deployment: &Deployment) -> Vec<SocketAddr> {
     let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
     relays.map(|relays| relays.callers.address()).collect()
 }
 
 impl<'a> Caller<'a> {
-    /// A caller with its own luck.
+    /// A caller whose random sequence follows from the seed and its number.
     pub fn new(
         seed: u64,
         number: u64,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Any request.
+    /// Draws a request of any kind.
     fn random_request(&mut self) -> Request {
         match self.random.random_range(0..4) {
             0 => Request::get("/read/"),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Sends a request and checks what comes. A failed connection promises nothing.
+    /// Sends a request and checks the response. A failed connection violates no guarantee.
     fn exchange(&mut self, at: usize, request: &Request) -> Option<u16> {
         let mut conn = self.connection(at)?;
         conn.write_all(&request.bytes()).ok()?;
@@ -97,7 +97,7 @@
         Some(response.status)
     }
 
-    /// Asks on a route that only one version has. A route that is not there is no fault.
+    /// Probes a route that only one version of the configuration has. A missing route is no violation.
     fn probe(&mut self, at: usize) {
         let newest = self.journal.newest_version();
         let version = newest - self.random.random_range(0..MAX_VERSION_LAG.min(newest));
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A kept connection to an instance, or a new one.
+    /// A persistent connection to an instance, or a new one.
     fn connection(&mut self, at: usize) -> Option<TcpStream> {
         let kept = self.kept.remove(&at).filter(|_| self.random.random_bool(REUSE_PROBABILITY));
         if kept.is_some() {
--- a/crates/drumusher/tests/routes/soak/crashing_request.rs
+++ b/crates/drumusher/tests/routes/soak/crashing_request.rs
@@ -1,4 +1,4 @@
-//! A request that ends backend servers, among the faults of the soak.
+//! A request that crashes backend servers, among the faults of the soak.
 
 use std::{
     io::Write,
@@ -13,18 +13,18 @@
 
 use crate::support::{DESK, Deployment, MODEL, Request, read_response};
 
-/// Its paths: a plain request and a stream.
+/// The paths of such requests: a plain one and a stream.
 const PATHS: [&str; 2] = ["/read/ends", "/talk/ends"];
-/// Time between two of them.
+/// Time between two such requests.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// How long it runs before its backend server ends.
+/// How long the request runs before its backend server crashes.
 const CRASH_DELAY: Duration = Duration::from_millis(30);
-/// How long that is down.
+/// How long a crashed server is down.
 const DOWNTIME: Duration = Duration::from_millis(300);
-/// A caller waits so long for the next byte of an answer.
+/// Longest wait for the next byte of a response.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Lets the backend servers end under it.
+/// Makes the backend servers crash on these requests.
 pub fn prepare(deployment: &Deployment) {
     for server in &deployment.servers {
         let (path, service) = match server.id.starts_with('d') {
@@ -42,7 +42,8 @@
     }
 }
 
-/// Comes with it to one instance after the other until `stop`. Its answers are not checked: they are failures.
+/// Sends the requests to one instance after the other until `stop`. The responses are failures and not
+/// checked.
 pub fn repeat_requests(addresses: &[SocketAddr], stop: &AtomicBool) {
     for number in 0.. {
         if stop.load(Ordering::Acquire) {
@@ -59,8 +60,9 @@
     }
 }
 
-/// After the faults every instance holds it back, and no backend server ends any more. Those that took the place of others
-/// meanwhile did not end under it, and an answer of one of them clears it: from now on they end too.
+/// Checks that after the faults every instance holds the requests back and no backend server crashes any
+/// more. Servers that replaced departed ones did not crash yet, and a response of theirs would clear the
+/// request, so from now on they crash too.
 pub fn check_held(deployment: &Deployment) {
     prepare(deployment);
     let held = |at: usize, path: &str| {
@@ -69,15 +71,15 @@
     };
     for path in PATHS {
         for at in 0..deployment.instances.len() {
-            wait_for("the request that ends servers is held back", || held(at, path));
+            wait_for("the crashing request is held back", || held(at, path));
         }
     }
     let crash_count =
         || deployment.servers.iter().map(|server| server.crashes().len()).sum::<usize>();
     let before = crash_count();
     for at in 0..deployment.instances.len() {
-        assert!(PATHS.iter().all(|path| held(at, path)), "it is still held back");
+        assert!(PATHS.iter().all(|path| held(at, path)), "the request is still held back");
     }
-    assert_eq!(crash_count(), before, "no backend server ends any more");
-    println!("  {before} backend servers ended under the request");
+    assert_eq!(crash_count(), before, "no backend server crashes any more");
+    println!("  {before} backend servers crashed on the request");
 }
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed: they come in series, overlap, and each ends by itself.
+//! Injects faults drawn from a seed: they come in series, overlap, and each ends after a time.
 
 use std::{
     collections::VecDeque,
@@ -23,32 +23,32 @@
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 20..450;
 /// How long a fault lasts, in milliseconds.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 80..2_500;
-/// How long a backend server says something of itself, in milliseconds: a limit is to be kept within 3 s.
+/// How long a backend server announces a notice, in milliseconds; a limit has to be kept after 3 s.
 const NOTICE_DURATION_MS: std::ops::Range<u64> = 1_000..9_000;
-/// Longest delay of a piece by a relay, in milliseconds.
+/// Longest delay of data by a relay, in milliseconds, exclusive.
 const MAX_DELAY_MS: u64 = 120;
-/// Bytes a second that a narrow relay carries.
+/// Rate of a relay that simulates a slow link.
 const LINK_BYTES_PER_SECOND: std::ops::Range<u64> = 100_000..1_000_000;
-/// Part of the changes of the configuration that make it large.
+/// Probability that a new configuration is large.
 const LARGE_PROBABILITY: f64 = 0.25;
-/// Bytes of a large configuration.
+/// Size of the filler routes of a large configuration.
 const LARGE_BYTES: std::ops::Range<usize> = 50_000..500_000;
-/// Longest series of changes of the configuration.
+/// Most configurations that are written at once.
 const MAX_CONFIGURATION_BURST: u64 = 5;
-/// Part of the steps at which the store comes back from a copy.
+/// Probability that the store is restored from a snapshot at a step.
 const RESTORE_PROBABILITY: f64 = 0.06;
-/// Tells the draws of restores from those of other faults.
+/// Separates the random sequence of restores from that of the other faults.
 const RESTORE_SEED: u64 = 0x5e57_04ed;
-/// Oldest copy from which it does.
+/// Largest age of a snapshot to restore from.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(5);
-/// Time between two copies.
+/// Least time between two snapshots.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two looks whether a process ended.
+/// Time between two checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Backend servers that may have left for good; replacements make up for them.
+/// Most backend servers that leave for good; each is replaced by a new one.
 const MAX_DEPARTED_SERVERS: usize = 4;
 
-/// What backend servers do when they fail.
+/// Faults of backend servers to draw from.
 const SERVER_FAULTS: [Fault; 11] = [
     Fault::Overloaded,
     Fault::Misdirected,
@@ -63,52 +63,52 @@
     Fault::Slow,
 ];
 
-/// How the store may be away.
+/// Outages of the store and the platform to draw from.
 const OUTAGES: [Outage; 3] = [Outage::Unavailable, Outage::Reset, Outage::Unresponsive];
 
-/// The end of a fault.
+/// The action that ends a fault. Indexes are those of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 enum Recovery {
-    /// The relay at this place passes everything.
+    /// Opens the relay with this index, see [`FaultInjector::relay_at`].
     OpenRelay(usize),
-    /// A paused instance goes on.
+    /// Resumes a paused instance.
     Resume(usize),
-    /// An instance that was killed, or told to stop, is started again once it ended.
+    /// Restarts an instance that was killed or stopped, once its process has exited.
     Restart(usize),
-    /// A backend server is well.
+    /// Clears the fault of a backend server.
     ClearServerFault(usize),
-    /// A backend server says nothing of itself any more.
+    /// Clears the notice of a backend server.
     ClearNotice(usize),
-    /// The platform takes calls of duties.
+    /// Ends an outage of the platform that the duties call.
     RestorePlatform,
-    /// The store serves an instance.
+    /// Ends an outage of the store for one instance.
     ReconnectInstance(usize),
-    /// The store serves all, and what lapsed is entered again.
+    /// Ends an outage of the store for all instances and registers the servers whose entries lapsed again.
     RestoreStore(Vec<usize>),
-    /// What operators and backend servers had written is written again.
+    /// Writes lost records of operators and backend servers again.
     Rewrite,
 }
 
-/// Applies faults and ends them.
+/// Injects faults and ends them.
 pub struct FaultInjector<'a> {
     random: StdRng,
     deployment: &'a mut Deployment,
     journal: &'a Journal,
     duties: &'a Duties,
     due: Vec<(Instant, Recovery)>,
-    /// Instances that are paused, ended or about to end.
+    /// Instances that are paused, stopped or stopping.
     down: Vec<usize>,
     replaced: usize,
-    /// Draws when the store comes back from a copy, beside the other faults.
+    /// Random sequence of the restores, separate from that of the other faults.
     restores: StdRng,
-    /// Copies of the store, with the moments at which they were made.
+    /// Snapshots of the store, with the times at which they were taken.
     snapshots: VecDeque<(Instant, Snapshot)>,
     /// The newest configuration that was written.
     configuration: String,
 }
 
 impl<'a> FaultInjector<'a> {
-    /// A disturber with the luck of a seed.
+    /// A fault injector whose random sequences follow from a seed.
     pub fn new(
         seed: u64,
         deployment: &'a mut Deployment,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// One fault, a pause, and the cures that are due.
+    /// Injects one fault and waits for the interval between faults, ending those that are due.
     pub fn step(&mut self) {
         self.take_snapshot();
         if self.restores.random_bool(RESTORE_PROBABILITY) {
@@ -148,13 +148,13 @@
     /// Ends all faults.
     pub fn recover_all(&mut self) {
         while !self.due.is_empty() {
-            let latest = self.due.iter().map(|(at, _)| *at).max().expect("one is due");
+            let latest = self.due.iter().map(|(at, _)| *at).max().expect("a recovery is scheduled");
             self.recover_due(latest);
             thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
-    /// Draws a fault and applies it.
+    /// Draws a fault and injects it.
     fn inject(&mut self) {
         self.journal.record_fault();
         match self.random.random_range(0..100) {
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Ends a fault after a while. The same one that was to end at another time ends with it.
+    /// Schedules the end of a fault after a random time. It replaces an equal recovery that is already
+    /// scheduled.
     fn schedule_recovery(&mut self, recovery: Recovery) {
         let at =
             Instant::now() + Duration::from_millis(self.random.random_range(FAULT_DURATION_MS));
@@ -183,26 +184,27 @@
         self.due.push((at, recovery));
     }
 
-    /// Any relay: of callers, other instances or the store, by instance.
+    /// Draws the index of a relay; each instance has three: for callers, other instances and the store.
     fn any_relay(&mut self) -> usize {
         self.random.random_range(0..3 * self.deployment.instances.len())
     }
 
-    /// The relay at a place.
+    /// The relay with this index: three for each instance, in the order callers, other instances, store.
     fn relay_at(&self, place: usize) -> &Relay {
         let relays = self.deployment.instances[place / 3].relays.as_ref();
-        let Relays { callers, peers, store } = relays.expect("the soak has relays");
+        let Relays { callers, peers, store } =
+            relays.expect("the instances of the soak have relays");
         [callers, peers, store][place % 3]
     }
 
-    /// Notes that the connections of an instance with others are disturbed or mended, if the relay is one of these.
+    /// Records an interruption of the instance if the relay carries its connections with other instances.
     fn record_peer_interruption(&self, place: usize) {
         if place % 3 == 1 {
             self.journal.record_interruption(place / 3);
         }
     }
 
-    /// A relay passes late, little at a time, or nothing.
+    /// Makes a relay slow, narrow, or silent in one or both directions.
     fn degrade_relay(&mut self) {
         let place = self.any_relay();
         let late = Duration::from_millis(self.random.random_range(1..MAX_DELAY_MS));
@@ -214,20 +216,20 @@
         self.schedule_recovery(Recovery::OpenRelay(place));
     }
 
-    /// The platform takes no calls of duties.
+    /// Starts an outage of the platform that the duties call.
     fn platform_outage(&mut self) {
         self.duties.set_outage(OUTAGES[self.random.random_range(0..OUTAGES.len())]);
         self.schedule_recovery(Recovery::RestorePlatform);
     }
 
-    /// A relay resets its connections.
+    /// Resets the connections of a relay.
     fn reset_relay(&mut self) {
         let place = self.any_relay();
         self.relay_at(place).reset();
         self.record_peer_interruption(place);
     }
 
-    /// Sends a signal to an instance that is up.
+    /// Sends a signal to an instance unless it is already down.
     fn signal(&mut self, signal: &str, recovery: fn(usize) -> Recovery) {
         let at = self.random.random_range(0..self.deployment.instances.len());
         if self.down.contains(&at) {
@@ -239,7 +241,7 @@
         self.schedule_recovery(recovery(at));
     }
 
-    /// An instance gets the signal on which it reads its settings again.
+    /// Makes an instance read its settings again.
     fn reload_settings(&mut self) {
         let at = self.random.random_range(0..self.deployment.instances.len());
         if !self.down.contains(&at) {
@@ -247,7 +249,7 @@
         }
     }
 
-    /// A backend server fails in some way.
+    /// Makes a backend server fail in some way.
     fn server_fault(&mut self) {
         let at = self.random.random_range(0..self.deployment.servers.len());
         let fault = SERVER_FAULTS[self.random.random_range(0..SERVER_FAULTS.len())];
@@ -255,8 +257,8 @@
         self.schedule_recovery(Recovery::ClearServerFault(at));
     }
 
-    /// A backend server says something of itself for longer than other faults last. One that asks for rest turns requests
-    /// away meanwhile.
+    /// Makes a backend server announce a notice, for longer than other faults last. One that asks for a
+    /// rest refuses requests meanwhile.
     fn announce_notice(&mut self) {
         let at = self.random.random_range(0..self.deployment.servers.len());
         let notice = notice::random_notice(&mut self.random);
@@ -274,7 +276,7 @@
         self.due.push((Instant::now() + lasts, Recovery::ClearNotice(at)));
     }
 
-    /// The store turns one instance away.
+    /// Starts an outage of the store for one instance.
     fn instance_store_outage(&mut self) {
         let at = self.random.random_range(0..self.deployment.instances.len());
         let away = OUTAGES[self.random.random_range(0..OUTAGES.len())];
@@ -282,7 +284,7 @@
         self.schedule_recovery(Recovery::ReconnectInstance(at));
     }
 
-    /// The store is away for all, and some entries of backend servers lapse meanwhile.
+    /// Starts an outage of the store for all instances, in which some entries of backend servers lapse.
     fn store_outage(&mut self) {
         let outage =
             |(_, recovery): &(Instant, Recovery)| matches!(recovery, Recovery::RestoreStore(_));
@@ -304,7 +306,7 @@
         self.schedule_recovery(Recovery::RestoreStore(lapsed));
     }
 
-    /// Copies the store now and then.
+    /// Takes a snapshot of the store if the last one is old enough, and drops those that are too old.
     fn take_snapshot(&mut self) {
         let now = Instant::now();
         self.snapshots.retain(|(at, _)| now < *at + MAX_SNAPSHOT_AGE);
@@ -313,7 +315,7 @@
         }
     }
 
-    /// The store comes back from some copy; its owners write later what it lost.
+    /// Restores the store from one of the snapshots. Lost records are written again after a random time.
     fn restore(&mut self) {
         self.journal.record_fault();
         let at = self.restores.random_range(0..self.snapshots.len());
@@ -322,7 +324,7 @@
         self.due.push((Instant::now() + lasts, Recovery::Rewrite));
     }
 
-    /// Operators and backend servers write what the store does not have.
+    /// Writes the records of operators and backend servers that the store lost.
     fn rewrite(&self) {
         let put = |topic: &str, key: &str, value: &str| {
             if self.deployment.store.newest(topic, key).as_deref() != Some(value) {
@@ -337,18 +339,18 @@
         }
     }
 
-    /// A backend server leaves for good and another one takes its place.
+    /// Replaces a backend server, which leaves for good, by a new one.
     fn replace_server(&mut self) {
         let departed_servers = self.journal.departed_servers();
-        let there =
+        let present =
             self.deployment.servers.iter().filter(|server| !departed_servers.contains(&server.id));
-        let there: Vec<(String, String)> = there
+        let present: Vec<(String, String)> = present
             .map(|server| (server.id.clone(), server.entry(service_of(&server.id), "draining")))
             .collect();
         if departed_servers.len() >= MAX_DEPARTED_SERVERS {
             return;
         }
-        let (id, entry) = &there[self.random.random_range(0..there.len())];
+        let (id, entry) = &present[self.random.random_range(0..present.len())];
         self.replaced += 1;
         let service = service_of(id);
         self.deployment.add_server(&format!("{}r{}", &id[..1], self.replaced), service);
@@ -357,7 +359,7 @@
         self.journal.record_departure(id);
     }
 
-    /// A series of changes of the configuration.
+    /// Writes a series of new configurations.
     fn configure(&mut self) {
         for _ in 0..self.random.random_range(1..=MAX_CONFIGURATION_BURST) {
             let version = self.journal.next_version();
@@ -372,7 +374,7 @@
         }
     }
 
-    /// Ends the faults that are due at `now`.
+    /// Ends the faults whose recovery is due at `now`.
     fn recover_due(&mut self, now: Instant) {
         let (due, later) =
             std::mem::take(&mut self.due).into_iter().partition(|(at, _)| *at <= now);
@@ -408,7 +410,8 @@
         }
     }
 
-    /// Starts an instance again, once it ended: one that was told to stop takes its time.
+    /// Restarts an instance whose process has exited, or schedules another check, since a graceful stop
+    /// takes a while.
     fn restart(&mut self, at: usize) {
         if self.deployment.instances[at].ended().is_none() {
             self.due.push((Instant::now() + EXIT_POLL_INTERVAL, Recovery::Restart(at)));
@@ -420,7 +423,7 @@
         self.down.retain(|down| *down != at);
     }
 
-    /// A backend server says nothing of itself any more, unless it leaves.
+    /// Clears the notice of a backend server unless it is leaving for good.
     fn clear_notice(&mut self, at: usize) {
         let server = &self.deployment.servers[at];
         if !self.journal.departed_servers().contains(&server.id) {
@@ -428,7 +431,7 @@
         }
     }
 
-    /// The store serves all again, and owners enter what lapsed.
+    /// Ends an outage of the store for all instances and writes the lapsed entries again.
     fn end_store_outage(&mut self, lapsed: &[usize]) {
         for instance in &self.deployment.instances {
             instance.store_endpoint.set_outage(Outage::None);
@@ -445,7 +448,7 @@
 }
 
 impl Drop for FaultInjector<'_> {
-    /// A paused process could not be ended in order.
+    /// Resumes paused instances.
     fn drop(&mut self) {
         for (_, recovery) in std::mem::take(&mut self.due) {
             if let Recovery::Resume(at) = recovery {
@@ -455,7 +458,7 @@
     }
 }
 
-/// The service of a backend server, by its identity.
+/// The service of a backend server, by the first letter of its ID.
 fn service_of(id: &str) -> &'static str {
     if id.starts_with('d') { DESK } else { MODEL }
 }
--- a/crates/drumusher/tests/routes/soak/journal.rs
+++ b/crates/drumusher/tests/routes/soak/journal.rs
@@ -1,4 +1,4 @@
-//! What callers saw, and which promises it breaks.
+//! Record of what callers saw, and the guarantees that it violates.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,25 +13,26 @@
 
 use crate::support::{Instance, Request, Response};
 
-/// Backend servers that a request which may be repeated goes to at most, by the configuration.
+/// Most backend servers that an idempotent request is sent to, by the configuration.
 const MAX_RUNS: usize = 2;
-/// Broken promises that are told; more say nothing new.
+/// Most violations that are reported; further ones add nothing new.
 const MAX_REPORTED_VIOLATIONS: usize = 20;
 
-/// What an instance has shown of its configuration since it was started.
+/// The newest configuration version that an instance has served since it was started.
 #[derive(Clone, Copy, Default)]
 struct SeenVersion {
     starts: u32,
     version: u64,
 }
 
-/// What the journal holds.
+/// The contents of the journal.
 #[derive(Default)]
 struct Inner {
     sent: BTreeMap<String, Request>,
-    /// At which instance each request was sent.
+    /// The instance that each request was sent to.
     receivers: BTreeMap<String, usize>,
-    /// When each instance was paused, went on, ended, or had its connections with others disturbed or mended.
+    /// When each instance was paused, resumed, stopped or restarted, or its connections with others were
+    /// disturbed or restored.
     interruptions: BTreeMap<usize, Vec<Instant>>,
     refused: BTreeSet<String>,
     seen_version: BTreeMap<usize, SeenVersion>,
@@ -44,25 +45,25 @@
     violations: Vec<String>,
 }
 
-/// What all callers saw, and what the disturber did that matters for it.
+/// What all callers saw, and the injected faults that matter for its evaluation.
 #[derive(Default)]
 pub struct Journal {
     inner: Mutex<Inner>,
 }
 
-/// The route that only a version of the configuration has.
+/// The name of the route that only this version of the configuration has.
 pub fn route(version: u64) -> String {
     format!("version{version}")
 }
 
-/// Whether an instance has written that a backend server leaves.
+/// Whether an instance has logged that a backend server is leaving.
 pub fn knows_left(instance: &Instance, id: &str) -> bool {
     let server = format!("\"server\":\"{id}\"");
     let lines = instance.log();
     lines.lines().any(|line| line.contains(&server) && line.contains("\"leaving\":\"true\""))
 }
 
-/// A line if a thread of the instance panicked.
+/// A violation if a thread of the instance panicked.
 pub fn find_panic(instance: &Instance) -> Option<String> {
     let lines = instance.log();
     let line = lines.lines().find(|line| line.contains("panicked"))?;
@@ -70,7 +71,7 @@
 }
 
 impl Journal {
-    /// Nothing was seen yet, with the first version in force.
+    /// An empty journal, with the first version of the configuration.
     pub fn new() -> Journal {
         Journal { inner: Mutex::new(Inner { version: 1, ..Inner::default() }) }
     }
@@ -79,17 +80,17 @@
         change(&mut self.inner.lock().expect("no holder panics"))
     }
 
-    /// An instance is about to go on after a pause.
+    /// Records that an instance is about to resume after a pause.
     pub fn record_resume(&self, instance: String) {
         self.with(|inner| inner.resumed_instances.push((instance, Instant::now())));
     }
 
-    /// The instances that went on after a pause, and when.
+    /// The instances that resumed after a pause, and when.
     pub fn resumed_instances(&self) -> Vec<(String, Instant)> {
         self.with(|inner| inner.resumed_instances.clone())
     }
 
-    /// A request is about to be sent to an instance.
+    /// Records that a request is about to be sent to an instance.
     pub fn record_request(&self, request: &Request, at: usize) {
         self.with(|inner| {
             inner.sent.insert(request.id.clone(), request.clone());
@@ -97,12 +98,14 @@
         });
     }
 
-    /// An instance is paused, goes on, ends, or its connections with others are disturbed or mended.
+    /// Records that an instance is paused, resumed, stopped or restarted, or that its connections with
+    /// others are disturbed or restored.
     pub fn record_interruption(&self, at: usize) {
         self.with(|inner| inner.interruptions.entry(at).or_default().push(Instant::now()));
     }
 
-    /// Who sent a request that arrived at a moment: its instance, and how often that was interrupted before.
+    /// The sender of a request that arrived at a backend server: the instance, and the number of its
+    /// interruptions before the arrival.
     pub fn sender(&self, id: &str, arrived: Instant) -> Option<(usize, usize)> {
         self.with(|inner| {
             let at = *inner.receivers.get(id)?;
@@ -111,7 +114,7 @@
         })
     }
 
-    /// An answer came: whole or not, it has to be this request's own.
+    /// Checks a response: complete or not, it has to be the one of this request.
     pub fn record_response(&self, request: &Request, response: &Response) {
         self.with(|inner| *inner.statuses.entry(response.status).or_default() += 1);
         let fault = match response.status {
@@ -120,7 +123,7 @@
                 self.with(|inner| inner.refused.insert(request.id.clone()));
                 None
             }
-            400..500 => Some("a proper request was turned away".to_string()),
+            400..500 => Some("a valid request was rejected".to_string()),
             _ => None,
         };
         if let Some(fault) = fault {
@@ -132,8 +135,9 @@
         }
     }
 
-    /// An instance answered on the route that only `version` has; `starts` counts the starts of its
-    /// process before the request was sent, `before` is what [`Journal::shown`] text then.
+    /// Records that an instance served the route that only `version` has. `starts` and `before` are what
+    /// [`Journal::seen_version`] returned before the request was sent: the starts of its process and the
+    /// newest version seen. An older version is a violation.
     pub fn record_version(&self, instance: usize, starts: u32, before: u64, version: u64) {
         let older = self.with(|inner| {
             if inner.starts.get(&instance).copied().unwrap_or(1) != starts {
@@ -153,7 +157,7 @@
         }
     }
 
-    /// How often an instance was started, and the newest version that it has shown since.
+    /// How often an instance was started, and the newest version that it has served since the last start.
     pub fn seen_version(&self, instance: usize) -> (u32, u64) {
         self.with(|inner| {
             let starts = inner.starts.get(&instance).copied().unwrap_or(1);
@@ -162,25 +166,25 @@
         })
     }
 
-    /// A fault begins.
+    /// Records that a fault begins.
     pub fn record_fault(&self) {
         self.with(|inner| inner.faults += 1);
     }
 
-    /// How much happened, in a line.
+    /// Counts of faults, requests and statuses, in one line.
     pub fn summary(&self) -> String {
         self.with(|inner| {
             let (faults, sent) = (inner.faults, inner.sent.len());
-            format!("{faults} faults, {sent} requests, answers by status {:?}", inner.statuses)
+            format!("{faults} faults, {sent} requests, responses by status {:?}", inner.statuses)
         })
     }
 
-    /// An instance is about to be started again.
+    /// Records that an instance is about to be restarted.
     pub fn record_restart(&self, instance: usize) {
         self.with(|inner| *inner.starts.entry(instance).or_insert(1) += 1);
     }
 
-    /// The next version of the configuration.
+    /// Allocates the next version of the configuration.
     pub fn next_version(&self) -> u64 {
         self.with(|inner| {
             inner.version += 1;
@@ -188,12 +192,12 @@
         })
     }
 
-    /// The newest version that was written.
+    /// The newest version that was allocated.
     pub fn newest_version(&self) -> u64 {
         self.with(|inner| inner.version)
     }
 
-    /// A backend server left for good.
+    /// Records that a backend server left for good.
     pub fn record_departure(&self, id: &str) {
         self.with(|inner| inner.departed_servers.insert(id.to_string()));
     }
@@ -203,12 +207,12 @@
         self.with(|inner| inner.departed_servers.iter().cloned().collect())
     }
 
-    /// Notes a broken promise.
+    /// Records a violation of a guarantee.
     pub fn record_violation(&self, what: String) {
         self.with(|inner| inner.violations.push(what));
     }
 
-    /// The promises that were broken, by what the backend servers ran too.
+    /// The violations recorded so far and those found in the requests that the backend servers ran.
     pub fn violations(&self, servers: &[Server]) -> Vec<String> {
         self.with(|inner| {
             let runs = inner.count_runs(servers);
@@ -220,17 +224,19 @@
 }
 
 impl Inner {
-    /// How often each request ran. Each run has to be as the caller sent it.
+    /// Counts how often each request ran, and checks that each run is the request that the caller sent.
     fn count_runs(&mut self, servers: &[Server]) -> BTreeMap<String, usize> {
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for run in servers.iter().flat_map(Server::runs) {
-            // Requests of the harness itself are not entered.
+            // Requests of the test itself, such as its readiness checks, are not recorded.
             let Some(request) = self.sent.get(&run.id) else { continue };
             let received = &run.request;
-            let same = received.target == request.path && received.body == request.body.as_bytes();
+            let unchanged =
+                received.target == request.path && received.body == request.body.as_bytes();
             let workspace = received.header("drumusher-tenant");
-            if !same || received.method != request.method || workspace != Some("vanua") {
-                let what = format!("{} {} ran changed: {received:?}", request.path, run.id);
+            if !unchanged || received.method != request.method || workspace != Some("vanua") {
+                let what =
+                    format!("{} {} was changed on the way: {received:?}", request.path, run.id);
                 self.violations.push(what);
             }
             *runs.entry(run.id).or_default() += 1;
@@ -238,7 +244,7 @@
         runs
     }
 
-    /// A request runs as often as its route allows, and not at all once it was refused.
+    /// Checks that no request ran more often than its route allows, and none that was refused.
     fn check_run_counts(&mut self, runs: BTreeMap<String, usize>) {
         for (id, count) in runs {
             let request = &self.sent[&id];
@@ -255,16 +261,16 @@
     }
 }
 
-/// What is wrong with a success, as far as it came.
+/// The fault of a response with status 200, as far as it arrived.
 fn check_success(request: &Request, response: &Response) -> Option<String> {
     let stream = request.path == "/draft/" || request.path == "/talk/";
     let expected = if stream { events(&request.id) } else { body(&request.id) };
     let text = response.text();
     if response.header("drumusher-response-seal") != Some(&*format!("seal-{}", request.id)) {
-        return Some("it has another signature".into());
+        return Some("wrong response seal".into());
     }
     if !expected.starts_with(&text) {
-        return Some("it has other bytes".into());
+        return Some("wrong body".into());
     }
-    (response.complete && text != expected).then(|| "a part looks whole".into())
+    (response.complete && text != expected).then(|| "truncated body without an error".into())
 }
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -1,17 +1,17 @@
-//! A randomized soak: instances as processes behind relays, a store and backend servers, callers who
-//! never stop, and faults from outside that come in series and overlap. What callers and backend
-//! servers see is checked against the promises while it runs and when it is over.
+//! Randomized soak test: instances as processes behind relays, a store and backend servers, callers that
+//! send requests all the time, and injected faults that come in series and overlap. What callers and
+//! backend servers see is checked against the guarantees of the fleet during and after the run.
 //!
-//! | module | duty |
+//! | module | task |
 //! |---|---|
-//! | `caller` | sends requests and checks each answer |
-//! | `crashing_request` | a request that ends backend servers, and whether it is held back |
-//! | `fault` | draws faults from a seed, applies them and ends them |
-//! | `notice` | what backend servers say of themselves, and whether instances keep to it |
-//! | `journal` | what was seen, and which promises it breaks |
+//! | `caller` | sends requests and checks each response |
+//! | `crashing_request` | repeats a request that crashes backend servers and checks that it is held back |
+//! | `fault` | draws faults from a seed, injects them and ends them |
+//! | `notice` | draws notices of backend servers and checks that instances comply |
+//! | `journal` | records what callers saw and finds violations of the guarantees |
 //!
-//! `cargo test -p drumusher --test routes -- soak::` plays the short list of CI and every seed that
-//! ever failed. `DRUMUSHER_SOAK=1000..1050 DRUMUSHER_SOAK_SECONDS=20` plays other seeds by hand.
+//! `cargo test -p drumusher --test routes -- soak::` runs the seeds of CI and every seed that ever failed.
+//! `DRUMUSHER_SOAK=1000..1050 DRUMUSHER_SOAK_SECONDS=20` runs other seeds.
 
 mod caller;
 mod crashing_request;
@@ -41,27 +41,28 @@
     uncertain_removals,
 };
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const CI_SEEDS: Range<u64> = 1..3;
-/// Seeds that failed once, with the cause. Played in CI after the short list.
+/// Seeds that failed once, with the cause. CI runs them after [`CI_SEEDS`].
 ///
-/// 5032: whoever had the duties was stopped or killed five times in six seconds, so that none was done by the end, where
-/// the soak looked once. It now waits until one is done after the faults, with every seed.
+/// 5032: the holder of the duties was stopped or killed five times in six seconds, so that no duty had been
+/// performed when the soak checked once at the end. With every seed it therefore waits until one is
+/// performed after the faults.
 const REGRESSION_SEEDS: [u64; 1] = [5032];
-/// How long faults come, in CI.
+/// How long faults are injected for each seed in CI.
 const CI_DURATION: Duration = Duration::from_secs(5);
-/// Instances of the deployment.
+/// Number of instances.
 const INSTANCES: usize = 4;
-/// Backend servers of each service.
+/// Number of backend servers of each service.
 const SERVERS: usize = 3;
-/// Callers at work at once.
+/// Number of concurrent callers.
 const CALLERS: u64 = 12;
-/// Names the seeds to play by hand, as `FIRST..END`.
+/// Environment variable with other seeds to run, as `FIRST..END`.
 const SEEDS_VARIABLE: &str = "DRUMUSHER_SOAK";
-/// Names how long faults come, in seconds.
+/// Environment variable with the time for which faults are injected, in seconds.
 const SECONDS_VARIABLE: &str = "DRUMUSHER_SOAK_SECONDS";
 
-/// Plays the seeds of CI, or those that the environment names.
+/// Runs the seeds of CI, or those that the environment names.
 #[test]
 fn guarantees_hold_under_random_faults() {
     let seeds = match std::env::var(SEEDS_VARIABLE) {
@@ -73,22 +74,22 @@
     let mut failed = Vec::new();
     for seed in seeds {
         let violations = run_seed(seed, time);
-        println!("seed {seed}: {}", if violations.is_empty() { "kept" } else { "BROKEN" });
+        println!("seed {seed}: {}", if violations.is_empty() { "passed" } else { "FAILED" });
         violations.iter().for_each(|line| println!("  {line}"));
         if !violations.is_empty() {
             failed.push(seed);
         }
     }
-    assert!(failed.is_empty(), "promises were broken with seeds {failed:?}");
+    assert!(failed.is_empty(), "guarantees were violated with seeds {failed:?}");
 }
 
-/// The seeds that a text names as `FIRST..END`.
+/// Parses a range of seeds, `FIRST..END`.
 fn parse_seeds(text: &str) -> Range<u64> {
     let bounds = text.split_once("..").expect("FIRST..END");
     bounds.0.parse().expect("a number")..bounds.1.parse().expect("a number")
 }
 
-/// Plays one seed; what it returns tells the promises that were broken. With odd seeds a request comes that ends backend
+/// Runs one seed and returns the violations found. Odd seeds include a request that crashes backend
 /// servers.
 fn run_seed(seed: u64, time: Duration) -> Vec<String> {
     let duties = Duties::start().expect("the platform starts");
@@ -124,7 +125,7 @@
     }
     check_recovered(&deployment, &journal);
     let calls = duties.calls().len();
-    wait_for("duties go on after the faults", || duties.calls().len() > calls);
+    wait_for("a duty is performed after the faults", || duties.calls().len() > calls);
     let mut violations = journal.violations(&deployment.servers);
     violations.extend(notice::violations(&deployment.servers, &journal));
     violations.extend(deployment.instances.iter().filter_map(journal::find_panic));
@@ -135,7 +136,8 @@
     violations
 }
 
-/// A deployment whose connections all lead through relays.
+/// A deployment in which the connections from callers, between instances and to the store pass through
+/// relays.
 fn deploy(duties: &Duties) -> Deployment {
     let mut deployment = Deployment::empty(true);
     for number in 0..SERVERS {
@@ -143,7 +145,7 @@
         deployment.add_server(&format!("m{number}"), MODEL);
     }
     for number in 0..INSTANCES {
-        let store_endpoint = deployment.store.endpoint().expect("a way to the store");
+        let store_endpoint = deployment.store.endpoint().expect("the store endpoint starts");
         deployment.add_instance_with(&format!("i{number}"), store_endpoint, &settings(duties));
     }
     deployment.store.put("keyed.op", "config", &scaling_configuration(1, &journal::route(1)));
@@ -151,14 +153,14 @@
     deployment
 }
 
-/// After the faults every instance serves every kind of request, with the newest configuration, and
-/// gives nothing to backend servers that left.
+/// Checks that after the faults every instance serves every kind of request with the newest configuration
+/// and sends nothing to departed servers.
 fn check_recovered(deployment: &Deployment, journal: &Journal) {
     let newest = journal.newest_version();
     let requests =
         [Request::get("/read/"), Request::post("/book/", "x"), Request::post("/draft/", "x")];
     for at in 0..deployment.instances.len() {
-        wait_for("the newest configuration is in force", || {
+        wait_for("the newest configuration is applied", || {
             let path = format!("/{}/", journal::route(newest));
             deployment.send(at, &Request::get(&path)).is_ok_and(|response| response.status == 200)
         });
@@ -172,7 +174,7 @@
             });
         }
         for id in journal.departed_servers() {
-            wait_for("the instance knows who left", || {
+            wait_for("the instance logs the departed server as leaving", || {
                 journal::knows_left(&deployment.instances[at], &id)
             });
         }
@@ -181,8 +183,8 @@
     check_silent_removal(deployment, journal, &requests);
 }
 
-/// A backend server whose entry ends without a word gets nothing more, although the store has just been away and
-/// configurations keep coming.
+/// Checks that a backend server whose entry is removed without a leaving notice gets no more requests,
+/// although the store was just unavailable and configurations keep changing.
 fn check_silent_removal(deployment: &Deployment, journal: &Journal, requests: &[Request]) {
     let departed_servers = journal.departed_servers();
     let is_present = |id: &&str| !departed_servers.iter().any(|other| other == id);
@@ -202,7 +204,7 @@
     deployment.store.remove("keyed.servers", last);
     let mut version = journal.newest_version();
     let configuration = |version| scaling_configuration(version, &journal::route(version));
-    let what = "an end without a word is believed";
+    let what = "the removal without a notice is accepted";
     uncertain_removals::wait_while_reconfiguring(
         deployment,
         &mut version,
@@ -214,7 +216,7 @@
     check_departed(deployment, journal, requests);
 }
 
-/// The store is away for all until each instance knows.
+/// Makes the store unavailable to all instances until each has logged it.
 fn outage_for_all(deployment: &Deployment) {
     let outages = |instance: &Instance| instance.log().matches("what is in force stays").count();
     let before: Vec<usize> = deployment.instances.iter().map(outages).collect();
@@ -222,14 +224,14 @@
         instance.store_endpoint.set_outage(Outage::Reset);
     }
     for (instance, before) in deployment.instances.iter().zip(before) {
-        wait_for("the last outage is known", || outages(instance) > before);
+        wait_for("the outage is logged", || outages(instance) > before);
     }
     for instance in &deployment.instances {
         instance.store_endpoint.set_outage(Outage::None);
     }
 }
 
-/// Backend servers that left get nothing of what instances are sent from now on.
+/// Checks that departed backend servers get none of the requests that are sent from now on.
 fn check_departed(deployment: &Deployment, journal: &Journal, requests: &[Request]) {
     let runs = |id: &String| deployment.server(id).runs().len();
     let departed_servers = journal.departed_servers();
@@ -240,5 +242,5 @@
         }
     }
     let after: Vec<usize> = departed_servers.iter().map(runs).collect();
-    assert_eq!(before, after, "backend servers that left got requests: {departed_servers:?}");
+    assert_eq!(before, after, "departed backend servers got requests: {departed_servers:?}");
 }
--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves, among the faults of the soak, and whether instances keep to it.
+//! Notices of backend servers among the faults of the soak, and checks that instances comply with them.
 
 use std::time::{Duration, Instant};
 
@@ -12,16 +12,16 @@
 
 use super::journal::Journal;
 
-/// Limits that a server may name, some of them none that can be read.
+/// Limits that a server may announce, in requests per second; some are invalid.
 const LIMITS: [&str; 9] = ["0", "0.2", "1.4", "5", "20", "1000", "abc", "NaN", "1e30"];
-/// Rests for which it may ask, some of them none that can be read.
+/// Rest periods that a server may ask for, in seconds; some are invalid.
 const RESTS: [&str; 5] = ["0", "0.25", "1.5", "3", "soon"];
-/// Within this after a limit is first named it is to be kept.
+/// A limit has to be kept from this time after it is first announced.
 const LIMIT_GRACE: Duration = Duration::from_secs(3);
-/// Within this after an instance was told that a server leaves it is to send nothing more there.
+/// An instance may send no more requests from this time after a server told it that it is leaving.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
-/// Draws what a server says of itself. A rest is asked for only by one that turns requests away.
+/// Draws a notice. The caller has to make a server that asks for a rest refuse requests.
 pub fn random_notice(random: &mut StdRng) -> Notice {
     let limit = LIMITS[random.random_range(0..LIMITS.len())];
     let rest = RESTS[random.random_range(0..RESTS.len())];
@@ -32,8 +32,8 @@
     }
 }
 
-/// The promises on what servers say that were broken. A process that was killed, paused or cut off from others since it
-/// was told counts as another one, which was not.
+/// Violations of notices. A process that was killed, paused or cut off from other instances after it was
+/// told counts as another sender, which was not told.
 pub fn violations(servers: &[Server], journal: &Journal) -> Vec<String> {
     let sender = |arrival: &Arrival| journal.sender(&arrival.id, arrival.at);
     let mut violations = Vec::new();
@@ -42,27 +42,30 @@
         let late = requests_after_leaving(&arrivals, sender, LEAVING_GRACE);
         if late > 0 {
             violations.push(format!(
-                "{} got {late} requests though it had said that it leaves",
+                "{} got {late} requests after it had announced that it is leaving",
                 server.id
             ));
         }
         let within = max_requests_during_rest(&arrivals, sender);
         if within > MAX_REQUESTS_DURING_REST {
-            violations
-                .push(format!("{} got {within} requests of one instance in a rest", server.id));
+            violations.push(format!(
+                "{} got {within} requests from one instance during a rest",
+                server.id
+            ));
         }
         violations.extend(limits(server).into_iter().filter_map(|(rate, since, until)| {
             let within = |arrival: &&Arrival| arrival.at >= since && arrival.at < until;
             let arrivals: Vec<Arrival> = arrivals.iter().filter(within).cloned().collect();
             let over = over_limit(&arrivals, sender, (rate, LIMIT_GRACE));
-            (over > 0.0)
-                .then(|| format!("{} got {over} more than {rate} a second allow", server.id))
+            (over > 0.0).then(|| {
+                format!("{} got {over} requests more than {rate} per second allow", server.id)
+            })
         }));
     }
     violations
 }
 
-/// The limits that a server named and that can be read, each with when it did.
+/// The valid limits that a server announced, each with the times from and until which it held.
 fn limits(server: &Server) -> Vec<(f64, Instant, Instant)> {
     let said = server.announcements();
     let ends = said.iter().skip(1).map(|(at, _)| *at).chain([Instant::now()]);
