--- a/crates/drumusher/tests/routes/main.rs
+++ b/crates/drumusher/tests/routes/main.rs
@@ -1,18 +1,18 @@
-//! Tests of requests along routes, on separate processes: instances and, on threads of the test,
-//! stand-ins of the users' platform.
+//! Tests of request routing against instances that run as separate processes. The store, the backend
+//! servers and the rest of the users' platform are stand-ins on threads of the test process.
 
-mod answers;
+mod backend_faults;
 mod config;
-mod doubt;
 mod duties;
-mod entries;
+mod forwarding;
 mod membership;
 mod notices;
-mod path;
+mod planned_stop;
 mod quarantine;
 mod restore;
+mod server_entries;
 mod soak;
-mod stop;
 mod streams;
 mod support;
 mod transfer;
+mod uncertain_removals;
--- a/crates/drumusher/tests/routes/support/answer.rs
+++ b/crates/drumusher/tests/routes/support/response.rs
@@ -1,25 +1,25 @@
-//! Answers as callers read them from a connection, whole or cut off.
+//! Reads HTTP/1.1 responses from a connection, whether complete or cut off.
 
 use std::{
     io::{self, Read},
     net::TcpStream,
 };
 
-/// An answer as a caller sees it.
+/// A response as a caller receives it.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// The status.
+pub struct Response {
+    /// The status code.
     pub status: u16,
-    /// Headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body, as far as it came.
+    /// The decoded body, as far as it arrived.
     pub body: Vec<u8>,
-    /// Whether it came whole.
-    pub whole: bool,
+    /// Whether the body arrived completely.
+    pub complete: bool,
 }
 
-impl Answer {
-    /// The first header of a name.
+impl Response {
+    /// The value of the first header with this name, which is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
@@ -30,21 +30,21 @@
     }
 }
 
-/// Reads one answer.
+/// Reads one response. A body that is cut off is no error but leaves `complete` unset.
 ///
 /// # Errors
 ///
-/// Any error before its head.
-pub fn read(conn: &mut TcpStream) -> io::Result<Answer> {
+/// Any I/O error before the head is complete.
+pub fn read_response(conn: &mut TcpStream) -> io::Result<Response> {
     let mut bytes = Vec::new();
-    let mut piece = [0; 4_096];
+    let mut buffer = [0; 4_096];
     let length = loop {
         if let Some(at) = find(&bytes, b"\r\n\r\n") {
             break at + 4;
         }
-        match conn.read(&mut piece)? {
+        match conn.read(&mut buffer)? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            count => bytes.extend_from_slice(&piece[..count]),
+            count => bytes.extend_from_slice(&buffer[..count]),
         }
     };
     let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
@@ -54,28 +54,28 @@
     let fields = lines.filter_map(|line| line.split_once(':'));
     let headers: Vec<(String, String)> =
         fields.map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_string())).collect();
-    let mut answer = Answer { status, headers, body: Vec::new(), whole: false };
+    let mut response = Response { status, headers, body: Vec::new(), complete: false };
     let mut rest = bytes.split_off(length);
-    let chunked = answer.header("transfer-encoding") == Some("chunked");
-    let sized = answer.header("content-length").and_then(|text| text.parse::<usize>().ok());
+    let chunked = response.header("transfer-encoding") == Some("chunked");
+    let sized = response.header("content-length").and_then(|text| text.parse::<usize>().ok());
     loop {
-        (answer.body, answer.whole) = match (chunked, sized) {
-            (true, _) => unchunk(&rest),
+        (response.body, response.complete) = match (chunked, sized) {
+            (true, _) => decode_chunked(&rest),
             (_, Some(size)) => (rest[..size.min(rest.len())].to_vec(), rest.len() >= size),
             (_, None) => (rest.clone(), false),
         };
-        if answer.whole {
-            return Ok(answer);
+        if response.complete {
+            return Ok(response);
         }
-        match conn.read(&mut piece) {
-            Ok(0) | Err(_) => return Ok(answer),
-            Ok(count) => rest.extend_from_slice(&piece[..count]),
+        match conn.read(&mut buffer) {
+            Ok(0) | Err(_) => return Ok(response),
+            Ok(count) => rest.extend_from_slice(&buffer[..count]),
         }
     }
 }
 
-/// The body of chunks so far, and whether the last one is there.
-fn unchunk(mut bytes: &[u8]) -> (Vec<u8>, bool) {
+/// Decodes the chunks that arrived so far; also returns whether the last chunk is among them.
+fn decode_chunked(mut bytes: &[u8]) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     loop {
         let Some(end) = find(bytes, b"\r\n") else { return (body, false) };
@@ -94,7 +94,7 @@
     }
 }
 
-/// Where `what` first stands.
+/// The position of the first occurrence of `what`.
 fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
     bytes.windows(what.len()).position(|window| window == what)
 }
