--- a/crates/drumusher-schedule/src/pool.rs
+++ b/crates/drumusher-schedule/src/pool.rs
@@ -59,9 +59,10 @@
     share: FairShare,
     lengths: Estimator,
     servers: Vec<Option<Server>>,
-    /// Backend servers that refuse requests of one entry instance for a while.
+    /// Backend servers that asked to get no requests from one entry instance for a while.
     cooldowns: Cooldowns,
-    /// Requests skipped in the current round of grants, since no free backend server accepts them.
+    /// Requests skipped in the current round of grants, because the free backend servers are in
+    /// cooldown for their entry instance.
     skipped: BTreeSet<Key>,
     /// Running attempts that may be preempted, by tier and time of the grant.
     preemptible: BTreeMap<u8, BTreeSet<(Micros, Key)>>,
--- a/crates/drumusher-schedule/src/pool/cooldown.rs
+++ b/crates/drumusher-schedule/src/pool/cooldown.rs
@@ -1,5 +1,5 @@
-//! Cooldowns: backend servers that refuse the requests of one entry instance for a while, and
-//! accept those of others.
+//! Cooldowns: backend servers that asked to get no requests from one entry instance for a while,
+//! and take those of others.
 
 use std::collections::HashMap;
 
@@ -58,8 +58,8 @@
         self.cooldowns.add(entry, key, until);
     }
 
-    /// Time until the first backend server accepts requests of an entry instance, if all healthy
-    /// ones are in cooldown for it.
+    /// Time until the first cooldown for an entry instance ends, if all healthy backend servers are
+    /// in cooldown for it.
     pub(super) fn cooldown_left(&self, now: Micros, entry: Entry) -> Option<Micros> {
         if self.cooldowns.is_empty() {
             return None;
--- a/crates/drumusher-schedule/src/pool/grant.rs
+++ b/crates/drumusher-schedule/src/pool/grant.rs
@@ -44,8 +44,8 @@
         self.skipped.clear();
     }
 
-    /// Skips a request that has no slot because the free backend servers refuse its entry instance
-    /// for now. Returns whether that is the reason.
+    /// Skips a request that has no slot because the free backend servers are in cooldown for its
+    /// entry instance. Returns whether that is the reason.
     fn skip(&mut self, now: Micros, key: Key) -> bool {
         let entry = self.waiting_at(key).map(|waiting| waiting.ask.entry);
         let in_cooldown = entry.is_some_and(|entry| self.cooldowns.any_active(now, entry));
--- a/crates/drumusher-schedule/src/pool/placement.rs
+++ b/crates/drumusher-schedule/src/pool/placement.rs
@@ -93,9 +93,9 @@
     /// The engine from which most of a prompt can be transferred, other than `avoid`, with the
     /// number of tokens. Of equal ones, the one that used them last.
     ///
-    /// Saves prefilling again what a busy engine has cached. Measured on nine engines under bursts
-    /// of long prompts, half a minute each: 2.4% of the prefilled tokens had been prefilled before,
-    /// and 13.9% with the switch `sources` off.
+    /// Saves prefilling again what a busy engine has cached. With nine engines under bursts of long
+    /// prompts, half a minute each, 2.4% of the prefilled tokens had been prefilled before, and
+    /// 13.9% with the switch `sources` off.
     fn transfer_source(
         &self,
         prompt: &Prompt<'_>,
--- a/crates/drumusher-schedule/tests/schedule/cooldown.rs
+++ b/crates/drumusher-schedule/tests/schedule/cooldown.rs
@@ -1,4 +1,4 @@
-//! Cooldowns: backend servers that refuse the requests of one entry instance for a while.
+//! Cooldowns: backend servers that asked to get no requests from one entry instance for a while.
 
 use drumusher_schedule::{
     ask::{Ask, Entry},
