--- a/crates/drumusher/tests/routes/config.rs
+++ b/crates/drumusher/tests/routes/config.rs
@@ -58,10 +58,10 @@
 #[case(Outage::Unavailable)]
 #[case(Outage::Reset)]
 #[case(Outage::Unresponsive)]
-fn requests_and_changes_survive_a_store_outage(#[case] away: Outage) {
+fn requests_and_changes_survive_a_store_outage(#[case] outage: Outage) {
     let deployment = Deployment::new(1);
-    deployment.store.set_outage(away);
-    deployment.instances[0].store_endpoint.set_outage(away);
+    deployment.store.set_outage(outage);
+    deployment.instances[0].store_endpoint.set_outage(outage);
     for _ in 0..5 {
         assert_eq!(status(&deployment, 0, "/read/"), 200);
     }
@@ -130,12 +130,12 @@
     let deployment = Deployment::new(1);
     let store_endpoint = &deployment.instances[0].store_endpoint;
     store_endpoint.set_outage(Outage::Unresponsive);
-    let known = || deployment.instances[0].log().contains("what is in force stays");
+    let outage_logged = || deployment.instances[0].log().contains("what is in force stays");
     // A call from before the outage is still answered, even ten seconds later, and would make the store
     // look available.
     deployment.store.put("keyed.instances", "another", "{}");
     wait_for("no older call is in flight", || store_endpoint.under_way() == 0);
-    wait_for("the outage is logged", known);
+    wait_for("the outage is logged", outage_logged);
     // Calls about the other three tables may still have been in flight.
     let before = store_endpoint.failed_waits().len() + 3;
     wait_for("further calls fail", || store_endpoint.failed_waits().len() > before + 3);
--- a/crates/drumusher/tests/routes/duties.rs
+++ b/crates/drumusher/tests/routes/duties.rs
@@ -160,9 +160,9 @@
 #[case(Outage::Unavailable)]
 #[case(Outage::Reset)]
 #[case(Outage::Unresponsive)]
-fn usage_is_reported_after_a_platform_outage(#[case] away: Outage) {
+fn usage_is_reported_after_a_platform_outage(#[case] outage: Outage) {
     let (deployment, duties) = deploy(2);
-    duties.set_outage(away);
+    duties.set_outage(outage);
     send_requests(&deployment, 0, 4);
     let reports = || duties.calls().iter().filter(|duty_call| duty_call.path == "/usage").count();
     let before = reports();
@@ -178,20 +178,20 @@
 #[rstest]
 #[case(Outage::Unavailable)]
 #[case(Outage::Unresponsive)]
-fn usage_is_reported_after_a_store_outage(#[case] away: Outage) {
+fn usage_is_reported_after_a_store_outage(#[case] outage: Outage) {
     let (deployment, duties) = deploy(2);
     send_requests(&deployment, 0, 2);
     wait_usage_reported(&deployment, &duties);
-    let set_away =
-        |away| deployment.instances.iter().for_each(|i| i.store_endpoint.set_outage(away));
-    set_away(away);
+    let set_outage_for_all =
+        |outage| deployment.instances.iter().for_each(|i| i.store_endpoint.set_outage(outage));
+    set_outage_for_all(outage);
     send_requests(&deployment, 0, 4);
     let renewal_failed = || {
         let lines = deployment.instances.iter().map(|instance| instance.log());
         lines.filter(|lines| lines.contains("was not renewed for sure")).count() > 0
     };
     wait_for("the lease is not renewed", renewal_failed);
-    set_away(Outage::None);
+    set_outage_for_all(Outage::None);
     send_requests(&deployment, 1, 2);
     wait_usage_reported(&deployment, &duties);
     assert_eq!(duties.violation(MIN_TENURE_GAP, &[]), None);
--- a/crates/drumusher/tests/routes/membership.rs
+++ b/crates/drumusher/tests/routes/membership.rs
@@ -15,12 +15,12 @@
 #[rstest]
 fn changes_reach_an_instance_without_the_store(
     #[values(0, 1, 2)] turned_away: usize,
-    #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
+    #[values(Outage::Unavailable, Outage::Unresponsive)] outage: Outage,
 ) {
     let deployment = Deployment::new(3);
     wait_for("all instances are registered", || all_registered(&deployment, 3));
     let store_endpoint = &deployment.instances[turned_away].store_endpoint;
-    store_endpoint.set_outage(away);
+    store_endpoint.set_outage(outage);
     wait_for("no older call is in flight", || {
         let reads = last_of(&deployment.instances[turned_away].log(), "reads the store for others");
         let no_older_call =
@@ -73,7 +73,7 @@
 #[rstest]
 fn remaining_reader_propagates_changes(
     #[values(0, 3)] left: usize,
-    #[values(Outage::Unavailable, Outage::Unresponsive)] away: Outage,
+    #[values(Outage::Unavailable, Outage::Unresponsive)] outage: Outage,
 ) {
     let deployment = Deployment::unconfigured(6);
     deployment.store.put("keyed.op", "config", &configuration(1, ""));
@@ -90,7 +90,7 @@
         deployment.instances[readers[left]].metric(&["entries_confirmed"]) >= SERVER_RECORDS
     });
     for at in readers.iter().filter(|at| **at != readers[left]) {
-        deployment.instances[*at].store_endpoint.set_outage(away);
+        deployment.instances[*at].store_endpoint.set_outage(outage);
     }
     for at in readers.iter().filter(|at| **at != readers[left]) {
         let store_endpoint = &deployment.instances[*at].store_endpoint;
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -75,7 +75,7 @@
 }
 
 /// The same for some of the instances.
-fn send_load_to(deployment: &Deployment, some: &[usize], rate: u64, time: Duration) -> Vec<u16> {
+fn send_load_to(deployment: &Deployment, indexes: &[usize], rate: u64, time: Duration) -> Vec<u16> {
     let since = Instant::now();
     let pause = Duration::from_secs(1) / rate as u32;
     thread::scope(|scope| {
@@ -84,7 +84,7 @@
             if since.elapsed() > time {
                 break;
             }
-            let at = some[number as usize % some.len()];
+            let at = indexes[number as usize % indexes.len()];
             callers.push(scope.spawn(move || {
                 let request = Request::get(&path(deployment, at));
                 deployment.send(at, &request).map_or(0, |response| response.status)
@@ -214,8 +214,8 @@
 #[case(Disruption::CutOff)]
 fn server_limit_holds_while_dispatchers_change(#[case] disruption: Disruption) {
     let mut deployment = deploy_with_relays(4, 3, true);
-    let limited_servers = deployment.servers[0].clone();
-    limited_servers.announce(Notice::limit("3"));
+    let limited_server = deployment.servers[0].clone();
+    limited_server.announce(Notice::limit("3"));
     send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_secs(4));
     for at in 0..4 {
         disrupt(&mut deployment, at, disruption);
@@ -227,7 +227,7 @@
         restore(&mut deployment, at, disruption);
         send_load(&deployment, REQUESTS_PER_SECOND, Duration::from_millis(800));
     }
-    let excess = excess_over_limit(&limited_servers, 3.0);
+    let excess = excess_over_limit(&limited_server, 3.0);
     println!("{disruption:?}: {excess} beyond what is allowed");
     assert!(excess <= 0.0, "{disruption:?}: {excess} more than allowed");
 }
--- a/crates/drumusher/tests/routes/planned_stop.rs
+++ b/crates/drumusher/tests/routes/planned_stop.rs
@@ -41,16 +41,16 @@
 #[test]
 fn stopping_instance_closes_connections() {
     let mut deployment = Deployment::new(1);
-    let mut resting = deployment.connect(0).expect("a connection");
-    resting.write_all(&Request::get("/read/").bytes()).expect("the request is sent");
-    assert_eq!(read_response(&mut resting).expect("a response").status, 200);
+    let mut idle = deployment.connect(0).expect("a connection");
+    idle.write_all(&Request::get("/read/").bytes()).expect("the request is sent");
+    assert_eq!(read_response(&mut idle).expect("a response").status, 200);
     // A request in flight keeps the process running.
     for id in ["m1", "m2"] {
         deployment.server(id).set(Fault::Hang);
     }
-    let mut held = deployment.connect(0).expect("a connection");
+    let mut in_flight = deployment.connect(0).expect("a connection");
     let request = Request::post("/draft/", "x");
-    held.write_all(&request.bytes()).expect("the request is sent");
+    in_flight.write_all(&request.bytes()).expect("the request is sent");
     wait_for("the request runs", || deployment.runs(&request.id) == 1);
     deployment.instances[0].signal("TERM");
     wait_for("the instance is not ready", || !deployment.instances[0].ready());
@@ -58,8 +58,8 @@
     assert_eq!(response.status, 200);
     assert_eq!(response.header("connection"), Some("close"));
     let mut byte = [0];
-    assert_eq!(resting.read(&mut byte).expect("an orderly close"), 0);
-    let response = read_response(&mut held).expect("an answer at the timeout of the route");
+    assert_eq!(idle.read(&mut byte).expect("an orderly close"), 0);
+    let response = read_response(&mut in_flight).expect("an answer at the timeout of the route");
     assert_eq!(response.status, 504);
     wait_for("the process ends", || deployment.instances[0].ended().is_some());
 }
@@ -72,15 +72,15 @@
         deployment.server(id).set(Fault::Hang);
     }
     let request = Request::post("/draft/", "x");
-    let mut held = deployment.connect(0).expect("a connection");
-    held.write_all(&request.bytes()).expect("the request is sent");
+    let mut in_flight = deployment.connect(0).expect("a connection");
+    in_flight.write_all(&request.bytes()).expect("the request is sent");
     wait_for("the request runs", || deployment.runs(&request.id) == 1);
     deployment.instances[0].signal("TERM");
     wait_for("the instance is not ready", || !deployment.instances[0].ready());
     deployment.instances[0].signal("TERM");
     wait_for("the process ends", || deployment.instances[0].ended().is_some());
     assert!(deployment.instances[0].log().contains("requests cut: 1"));
-    assert!(read_response(&mut held).is_err(), "a cut request gets no response");
+    assert!(read_response(&mut in_flight).is_err(), "a cut request gets no response");
 }
 
 /// On a hangup signal the settings file is read and checked again, and the instance goes on, even if the
--- a/crates/drumusher/tests/routes/restore.rs
+++ b/crates/drumusher/tests/routes/restore.rs
@@ -145,8 +145,11 @@
     let (began, before) = (Instant::now(), calls());
     wait_for("some time passes", || began.elapsed() > Duration::from_secs(2));
     let paced = began.elapsed().as_millis() / POLL_INTERVAL.as_millis();
-    let made = (calls() - before) as u128;
-    assert!(made <= paced, "{made} calls about one of {TABLES} tables, {paced} are paced");
+    let calls_made = (calls() - before) as u128;
+    assert!(
+        calls_made <= paced,
+        "{calls_made} calls about one of {TABLES} tables, {paced} are paced"
+    );
 }
 
 /// An instance that starts while the store holds an older version gets the current one from the other
@@ -237,11 +240,11 @@
     let snapshot = deployment.store.snapshot();
     deployment.add_server("d2", DESK);
     deployment.add_server("d3", DESK);
-    let known = |at: usize, id: &str| {
+    let is_logged = |at: usize, id: &str| {
         deployment.instances[at].log().contains(&format!("\"server\":\"{id}\""))
     };
     (0..3).for_each(|at| {
-        wait_for("the new servers are logged", || known(at, "d2") && known(at, "d3"));
+        wait_for("the new servers are logged", || is_logged(at, "d2") && is_logged(at, "d3"));
     });
     restore(&deployment, &snapshot);
     let entry = deployment.server("d2").entry(DESK, "ready");
--- a/crates/drumusher/tests/routes/server_entries.rs
+++ b/crates/drumusher/tests/routes/server_entries.rs
@@ -52,12 +52,12 @@
             deployment.store.put("keyed.servers", id, &entry);
         }
     };
-    let known = |born: u64| {
+    let is_logged = |born: u64| {
         let lines = deployment.instances[0].log();
         lines.matches(&format!("\"born\":\"{born}\"")).count() == 2
     };
     announce(1_000);
-    wait_for("the first start of both servers is logged", || known(1_000));
+    wait_for("the first start of both servers is logged", || is_logged(1_000));
     for id in ["d1", "d2"] {
         deployment.server(id).set(Fault::Hang);
     }
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -190,30 +190,30 @@
     }
 
     /// The relay with this index: three for each instance, in the order callers, other instances, store.
-    fn relay_at(&self, place: usize) -> &Relay {
-        let relays = self.deployment.instances[place / 3].relays.as_ref();
+    fn relay_at(&self, relay_index: usize) -> &Relay {
+        let relays = self.deployment.instances[relay_index / 3].relays.as_ref();
         let Relays { callers, peers, store } =
             relays.expect("the instances of the soak have relays");
-        [callers, peers, store][place % 3]
+        [callers, peers, store][relay_index % 3]
     }
 
     /// Records an interruption of the instance if the relay carries its connections with other instances.
-    fn record_peer_interruption(&self, place: usize) {
-        if place % 3 == 1 {
-            self.journal.record_interruption(place / 3);
+    fn record_peer_interruption(&self, relay_index: usize) {
+        if relay_index % 3 == 1 {
+            self.journal.record_interruption(relay_index / 3);
         }
     }
 
     /// Makes a relay slow, narrow, or silent in one or both directions.
     fn degrade_relay(&mut self) {
-        let place = self.any_relay();
+        let relay_index = self.any_relay();
         let late = Duration::from_millis(self.random.random_range(1..MAX_DELAY_MS));
         let narrow = Mode::Narrow(self.random.random_range(LINK_BYTES_PER_SECOND));
         let modes = [Mode::Late(late), narrow, Mode::MuteTo, Mode::MuteBack, Mode::Mute];
         let mode = modes[self.random.random_range(0..modes.len())];
-        self.relay_at(place).set(mode);
-        self.record_peer_interruption(place);
-        self.schedule_recovery(Recovery::OpenRelay(place));
+        self.relay_at(relay_index).set(mode);
+        self.record_peer_interruption(relay_index);
+        self.schedule_recovery(Recovery::OpenRelay(relay_index));
     }
 
     /// Starts an outage of the platform that the duties call.
@@ -224,9 +224,9 @@
 
     /// Resets the connections of a relay.
     fn reset_relay(&mut self) {
-        let place = self.any_relay();
-        self.relay_at(place).reset();
-        self.record_peer_interruption(place);
+        let relay_index = self.any_relay();
+        self.relay_at(relay_index).reset();
+        self.record_peer_interruption(relay_index);
     }
 
     /// Sends a signal to an instance unless it is already down.
@@ -271,9 +271,9 @@
             self.schedule_recovery(Recovery::ClearServerFault(at));
         }
         self.deployment.servers[at].announce(notice);
-        let lasts = Duration::from_millis(self.random.random_range(NOTICE_DURATION_MS));
+        let duration = Duration::from_millis(self.random.random_range(NOTICE_DURATION_MS));
         self.due.retain(|(_, other)| *other != Recovery::ClearNotice(at));
-        self.due.push((Instant::now() + lasts, Recovery::ClearNotice(at)));
+        self.due.push((Instant::now() + duration, Recovery::ClearNotice(at)));
     }
 
     /// Starts an outage of the store for one instance.
@@ -320,8 +320,8 @@
         self.journal.record_fault();
         let at = self.restores.random_range(0..self.snapshots.len());
         self.deployment.store.restore(&self.snapshots[at].1);
-        let lasts = Duration::from_millis(self.restores.random_range(FAULT_DURATION_MS));
-        self.due.push((Instant::now() + lasts, Recovery::Rewrite));
+        let duration = Duration::from_millis(self.restores.random_range(FAULT_DURATION_MS));
+        self.due.push((Instant::now() + duration, Recovery::Rewrite));
     }
 
     /// Writes the records of operators and backend servers that the store lost.
@@ -388,9 +388,9 @@
     /// Ends one fault.
     fn recover(&mut self, recovery: Recovery) {
         match recovery {
-            Recovery::OpenRelay(place) => {
-                self.relay_at(place).set(Mode::Open);
-                self.record_peer_interruption(place);
+            Recovery::OpenRelay(relay_index) => {
+                self.relay_at(relay_index).set(Mode::Open);
+                self.record_peer_interruption(relay_index);
             }
             Recovery::Resume(at) => {
                 self.journal.record_resume(format!("i{at}"));
--- a/crates/drumusher/tests/routes/soak/mod.rs
+++ b/crates/drumusher/tests/routes/soak/mod.rs
@@ -74,7 +74,7 @@
     let mut failed = Vec::new();
     for seed in seeds {
         let violations = run_seed(seed, time);
-        println!("seed {seed}: {}", if violations.is_empty() { "passed" } else { "FAILED" });
+        println!("seed {seed}: {}", if violations.is_empty() { "kept" } else { "BROKEN" });
         violations.iter().for_each(|line| println!("  {line}"));
         if !violations.is_empty() {
             failed.push(seed);
--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -67,9 +67,9 @@
 
 /// The valid limits that a server announced, each with the times from and until which it held.
 fn limits(server: &Server) -> Vec<(f64, Instant, Instant)> {
-    let said = server.announcements();
-    let ends = said.iter().skip(1).map(|(at, _)| *at).chain([Instant::now()]);
-    let limits = said.iter().zip(ends).filter_map(|((since, notice), until)| {
+    let announced = server.announcements();
+    let ends = announced.iter().skip(1).map(|(at, _)| *at).chain([Instant::now()]);
+    let limits = announced.iter().zip(ends).filter_map(|((since, notice), until)| {
         let rate: f64 = notice.limit.as_ref()?.parse().ok()?;
         (rate.is_finite() && rate >= 0.0).then_some((rate, *since, until))
     });
--- a/crates/drumusher/tests/routes/streams.rs
+++ b/crates/drumusher/tests/routes/streams.rs
@@ -117,13 +117,13 @@
     let deployment = Deployment::new(1);
     let mut conn = deployment.connect(0).expect("a connection");
     conn.write_all(&Request::post("/draft/", "x").bytes()).expect("the request is sent");
-    let mut piece = [0; 64];
-    assert!(conn.read(&mut piece).expect("the first events") > 0);
+    let mut buffer = [0; 64];
+    assert!(conn.read(&mut buffer).expect("the first events") > 0);
     drop(conn);
-    let gone = || {
+    let disconnects = || {
         deployment.server("m1").client_disconnects() + deployment.server("m2").client_disconnects()
     };
-    wait_for("the engine sees the disconnect", || gone() == 1);
+    wait_for("the engine sees the disconnect", || disconnects() == 1);
 }
 
 /// An engine that gets a prompt whose prefix a busy engine has cached is told to copy it from there.
@@ -138,7 +138,7 @@
             .with("Drumusher-Token-Usage", &format!("{},60", tokens + own))
             .with("Drumusher-Prompt-Prefix", &format!("a{shared}:{tokens},b{shared}{own}:{own}"))
     };
-    let named = (1..50).find_map(|shared| {
+    let source_and_keeper = (1..50).find_map(|shared| {
         let first = prompt(shared, 9_000, 1);
         deployment.send(0, &first).expect("a response");
         let ran = |id: &str, at: usize| servers[at].runs().iter().any(|run| run.id == id);
@@ -159,7 +159,7 @@
         Some((run.request.header("kv-fetch").map(String::from), servers[keeper].address))
     });
     let (source, keeper) =
-        named.expect("an attempt at which the caching engine is taken to be busy");
+        source_and_keeper.expect("an attempt at which the caching engine is taken to be busy");
     assert_eq!(source, Some(keeper.to_string()));
 }
 
--- a/crates/drumusher/tests/routes/support.rs
+++ b/crates/drumusher/tests/routes/support.rs
@@ -319,8 +319,8 @@
     /// none yet.
     pub fn metric(&self, words: &[&str]) -> f64 {
         let metrics = self.metrics();
-        let is_meant = |line: &&str| words.iter().all(|word| line.contains(word));
-        let line = metrics.lines().filter(|line| !line.starts_with('#')).find(is_meant);
+        let matches = |line: &&str| words.iter().all(|word| line.contains(word));
+        let line = metrics.lines().filter(|line| !line.starts_with('#')).find(matches);
         line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
     }
 
--- a/crates/drumusher/tests/routes/uncertain_removals.rs
+++ b/crates/drumusher/tests/routes/uncertain_removals.rs
@@ -67,15 +67,15 @@
         instance.store_endpoint.set_outage(Outage::None);
     }
     let mut version = 1;
-    let gone = |server: &str| {
+    let removal_accepted = |server: &str| {
         deployment.instances.iter().all(|instance| removals_accepted(instance, server) > 0)
     };
     let plain = |version| configuration(version, "");
     let what = "the removal of the missing server is accepted";
-    wait_while_reconfiguring(&deployment, &mut version, plain, what, || gone("d2"));
+    wait_while_reconfiguring(&deployment, &mut version, plain, what, || removal_accepted("d2"));
     deployment.store.remove("keyed.servers", "m2");
     let what = "the later removal is accepted";
-    wait_while_reconfiguring(&deployment, &mut version, plain, what, || gone("m2"));
+    wait_while_reconfiguring(&deployment, &mut version, plain, what, || removal_accepted("m2"));
 }
 
 /// Calls about the instances wait longer than others. One that gets no response points at most to an outage
