--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -67,8 +67,8 @@
     arrival.path.strip_prefix("/read/i").map(String::from)
 }
 
-/// Sends requests to all instances in turn at a fixed rate, without waiting for responses, and returns
-/// their statuses; 0 stands for a failed connection.
+/// Sends requests to all instances in turn at a fixed rate for a time, each without waiting for the
+/// responses before it, and returns the statuses; 0 stands for a request without a response.
 fn send_load(deployment: &Deployment, rate: u64, time: Duration) -> Vec<u16> {
     let all: Vec<usize> = (0..deployment.instances.len()).collect();
     send_load_to(deployment, &all, rate, time)
--- a/crates/drumusher/tests/routes/planned_stop.rs
+++ b/crates/drumusher/tests/routes/planned_stop.rs
@@ -59,7 +59,7 @@
     assert_eq!(response.header("connection"), Some("close"));
     let mut byte = [0];
     assert_eq!(idle.read(&mut byte).expect("an orderly close"), 0);
-    let response = read_response(&mut in_flight).expect("an answer at the timeout of the route");
+    let response = read_response(&mut in_flight).expect("a response at the timeout of the route");
     assert_eq!(response.status, 504);
     wait_for("the process ends", || deployment.instances[0].ended().is_some());
 }
--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -21,7 +21,7 @@
 /// An instance may send no more requests from this time after a server told it that it is leaving.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
-/// Draws a notice. The caller has to make a server that asks for a rest refuse requests.
+/// Draws a notice. One with a rest is only valid for a server that refuses requests meanwhile.
 pub fn random_notice(random: &mut StdRng) -> Notice {
     let limit = LIMITS[random.random_range(0..LIMITS.len())];
     let rest = RESTS[random.random_range(0..RESTS.len())];
--- a/crates/drumusher/tests/routes/support.rs
+++ b/crates/drumusher/tests/routes/support.rs
@@ -360,7 +360,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Settings that all instances share; they follow the `[store]` section.
+/// Settings that all instances share, written after the `[store]` section.
 const COMMON_SETTINGS: &str =
     "[stop]\naccept_ms = 300\nlongest_seconds = 8\n[telemetry]\nsample_every = 0\n";
 
