--- a/crates/drumusher/tests/routes/soak/notice.rs
+++ b/crates/drumusher/tests/routes/soak/notice.rs
@@ -21,7 +21,7 @@
 /// An instance may send no more requests from this time after a server told it that it is leaving.
 const LEAVING_GRACE: Duration = Duration::from_secs(2);
 
-/// Draws a notice. The caller has to make a server that asks for a rest refuse requests.
+/// Draws a notice. One with a rest is only valid for a server that refuses requests meanwhile.
 pub fn random_notice(random: &mut StdRng) -> Notice {
     let limit = LIMITS[random.random_range(0..LIMITS.len())];
     let rest = RESTS[random.random_range(0..RESTS.len())];
@@ -67,9 +67,9 @@
 
 /// The valid limits that a server announced, each with the times from and until which it held.
 fn limits(server: &Server) -> Vec<(f64, Instant, Instant)> {
-    let said = server.announcements();
-    let ends = said.iter().skip(1).map(|(at, _)| *at).chain([Instant::now()]);
-    let limits = said.iter().zip(ends).filter_map(|((since, notice), until)| {
+    let announced = server.announcements();
+    let ends = announced.iter().skip(1).map(|(at, _)| *at).chain([Instant::now()]);
+    let limits = announced.iter().zip(ends).filter_map(|((since, notice), until)| {
         let rate: f64 = notice.limit.as_ref()?.parse().ok()?;
         (rate.is_finite() && rate >= 0.0).then_some((rate, *since, until))
     });
--- a/crates/drumusher/tests/routes/support.rs
+++ b/crates/drumusher/tests/routes/support.rs
@@ -319,8 +319,8 @@
     /// none yet.
     pub fn metric(&self, words: &[&str]) -> f64 {
         let metrics = self.metrics();
-        let is_meant = |line: &&str| words.iter().all(|word| line.contains(word));
-        let line = metrics.lines().filter(|line| !line.starts_with('#')).find(is_meant);
+        let matches = |line: &&str| words.iter().all(|word| line.contains(word));
+        let line = metrics.lines().filter(|line| !line.starts_with('#')).find(matches);
         line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0.0)
     }
 
@@ -360,7 +360,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Settings that all instances share; they follow the `[store]` section.
+/// Settings that all instances share, written after the `[store]` section.
 const COMMON_SETTINGS: &str =
     "[stop]\naccept_ms = 300\nlongest_seconds = 8\n[telemetry]\nsample_every = 0\n";
 
