--- a/crates/drumusher/tests/fleet/bad_input.rs
+++ b/crates/drumusher/tests/fleet/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: a clear answer or a close, nothing lost, no panic.
+//! Invalid input gets an error response or a closed connection; it causes no panic and affects no other request.
 
 use std::{
     io::{Read, Write},
@@ -10,13 +10,14 @@
 
 use crate::support::{MODEL, assert_whole, fleet, send, stream};
 
+/// Status and error code of a response.
 fn code(status: u16, body: &str) -> (u16, String) {
     let parsed: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     (status, parsed["error"]["code"].as_str().unwrap_or("").to_string())
 }
 
 #[test]
-fn each_fault_has_its_answer() {
+fn each_invalid_request_has_its_error_response() {
     let fleet = fleet(&["suva"], 1, 1, "[limits]\nbody_bytes = 2048\n");
     let http = &fleet.instances[0].http;
     let large = format!("{{\"model\": \"{MODEL}\", \"prompt\": \"{}\"}}", "x".repeat(4_000));
@@ -33,32 +34,32 @@
         ("/no/such/path", "urgent", "", 404, "unknown_path"),
     ];
     for (path, class, body, status, expected) in cases {
-        let answer = send(http, path, class, &[], body).expect("an answer");
-        assert_eq!(code(answer.status, &answer.body), (status, expected.to_string()), "{body}");
-        assert_eq!(answer.json()["error"]["ran"], "no");
+        let response = send(http, path, class, &[], body).expect("a response");
+        assert_eq!(code(response.status, &response.body), (status, expected.to_string()), "{body}");
+        assert_eq!(response.json()["error"]["ran"], "no");
     }
     let long = "k".repeat(300);
     let key = [("idempotency-key", long.as_str())];
-    let answer = send(http, "/services/desk/x", "booking", &key, "").expect("an answer");
-    assert_eq!(answer.status, 400);
+    let response = send(http, "/services/desk/x", "booking", &key, "").expect("a response");
+    assert_eq!(response.status, 400);
     for headers in [vec![], vec![("authorization", "Bearer wrong")]] {
-        let answer = client::post(http, "/v1/completions", &headers, "{}").expect("an answer");
-        assert_eq!(code(answer.status, &answer.body), (401, "unauthorized".into()));
-        let answer = client::post(http, "/operator/query", &headers, "show config");
-        assert_eq!(answer.expect("an answer").status, 401);
+        let response = client::post(http, "/v1/completions", &headers, "{}").expect("a response");
+        assert_eq!(code(response.status, &response.body), (401, "unauthorized".into()));
+        let response = client::post(http, "/operator/query", &headers, "show config");
+        assert_eq!(response.expect("a response").status, 401);
     }
-    let answer = fleet.ask(0, "show everything").expect("an answer");
-    assert_eq!(answer.status, 400);
-    assert!(answer.body.contains("expected running, waiting"), "{}", answer.body);
+    let response = fleet.ask(0, "show everything").expect("a response");
+    assert_eq!(response.status, 400);
+    assert!(response.body.contains("expected running, waiting"), "{}", response.body);
 }
 
-/// Garbage, silence and half a handshake on the port for other instances.
+/// The port for peers closes connections that send invalid bytes, or nothing, in place of a handshake.
 #[rstest]
 #[case::garbage(b"GET / HTTP/1.1\r\n\r\n")]
-#[case::claims_too_much(b"\xff\xff\xff\xff")]
+#[case::excessive_length(b"\xff\xff\xff\xff")]
 #[case::not_thrift(b"\x00\x00\x00\x04\xde\xad\xbe\xef")]
 #[case::nothing(b"")]
-fn the_peer_port_closes_on_strangers(#[case] sent: &[u8]) {
+fn the_peer_port_closes_invalid_connections(#[case] sent: &[u8]) {
     let fleet = fleet(&["suva"], 2, 1, "");
     let mut connection = TcpStream::connect(&fleet.instances[0].peer).expect("it accepts");
     connection.write_all(sent).expect("the bytes are sent");
@@ -66,13 +67,14 @@
     // Returns when the instance closes.
     let _ = connection.read_to_end(&mut rest);
     assert!(rest.is_empty(), "{rest:?}");
-    let answer = stream(&fleet.instances[0].http, "urgent", "after", 3).expect("an answer");
-    assert_whole(&answer, "after", 3);
+    let response = stream(&fleet.instances[0].http, "urgent", "after", 3).expect("a response");
+    assert_whole(&response, "after", 3);
 }
 
-/// A caller that stops in the middle of its request, and one that closes its sending half after it.
+/// Callers that send only part of a request get 4xx or a closed connection, and one that shuts down its sending side gets a
+/// complete response or none; others are served meanwhile.
 #[test]
-fn slow_and_half_closed_callers_hold_up_nobody() {
+fn slow_and_half_closed_callers_delay_no_one() {
     let settings = "[limits]\nbody_ms = 300\nheader_seconds = 1\n";
     let fleet = fleet(&["suva"], 1, 1, settings);
     let http = &fleet.instances[0].http;
@@ -81,18 +83,18 @@
     let mut half_body = TcpStream::connect(http).expect("it accepts");
     let head = "POST /v1/completions HTTP/1.1\r\nhost: t\r\ncontent-length: 100\r\n\r\n{";
     half_body.write_all(head.as_bytes()).expect("sent");
-    assert_whole(&stream(http, "urgent", "other", 3).expect("an answer"), "other", 3);
+    assert_whole(&stream(http, "urgent", "other", 3).expect("a response"), "other", 3);
     for connection in [&mut headers_only, &mut half_body] {
-        let mut answer = String::new();
-        let _ = connection.read_to_string(&mut answer);
-        let refused = answer.is_empty() || answer.starts_with("HTTP/1.1 4");
-        assert!(refused, "{answer}");
+        let mut response = String::new();
+        let _ = connection.read_to_string(&mut response);
+        let refused = response.is_empty() || response.starts_with("HTTP/1.1 4");
+        assert!(refused, "{response}");
     }
     let mut half_closed = crate::support::raw_stream(http, "half", 3);
     half_closed.shutdown(Shutdown::Write).expect("half closed");
-    let mut answer = String::new();
-    let _ = half_closed.read_to_string(&mut answer);
-    let whole = answer.starts_with("HTTP/1.1 200") && answer.contains("[DONE]");
-    assert!(whole || answer.is_empty(), "a part of an answer: {answer}");
-    assert_whole(&stream(http, "urgent", "after", 3).expect("an answer"), "after", 3);
+    let mut response = String::new();
+    let _ = half_closed.read_to_string(&mut response);
+    let whole = response.starts_with("HTTP/1.1 200") && response.contains("[DONE]");
+    assert!(whole || response.is_empty(), "a partial response: {response}");
+    assert_whole(&stream(http, "urgent", "after", 3).expect("a response"), "after", 3);
 }
--- a/crates/drumusher/tests/fleet/leaving.rs
+++ b/crates/drumusher/tests/fleet/draining.rs
@@ -1,27 +1,28 @@
-//! A leaving backend server gets no new work after a few seconds.
+//! A backend server that is leaving gets no new requests after a few seconds.
 
 use drumusher_bench::fleet::{Fleet, wait_for};
 
-use crate::support::{address_of, assert_whole, counted, fleet, stream, switch};
+use crate::support::{address_of, assert_whole, engine_stat, fleet, stream, switch};
 
+/// The engine that leaves.
 const LEAVING: &str = "suva-engine-0";
 
-/// Sends requests until none of the last twenty reached the leaving engine.
+/// Sends requests until none out of twenty reaches the engine that is leaving.
 fn assert_left_alone(fleet: &Fleet) {
     let engine = address_of(fleet, LEAVING);
     wait_for("the engine gets no new work", || {
-        let before = counted(&engine, "requests");
+        let before = engine_stat(&engine, "requests");
         for number in 0..20 {
             let http = &fleet.instances[number % fleet.instances.len()].http;
             let tag = format!("t{number}");
-            assert_whole(&stream(http, "urgent", &tag, 2).expect("an answer"), &tag, 2);
+            assert_whole(&stream(http, "urgent", &tag, 2).expect("a response"), &tag, 2);
         }
-        counted(&engine, "requests") == before
+        engine_stat(&engine, "requests") == before
     });
 }
 
 #[test]
-fn by_the_platforms_list() {
+fn a_server_listed_as_leaving_gets_no_work() {
     let mut fleet = fleet(&["suva"], 2, 2, "");
     fleet.backends.iter_mut().filter(|b| b.name == LEAVING).for_each(|b| b.leaving = true);
     fleet.publish().expect("the list is replaced");
@@ -29,23 +30,23 @@
 }
 
 #[test]
-fn by_an_operators_command_while_the_list_is_down() {
+fn a_server_drained_by_command_gets_no_work_while_the_list_is_down() {
     let fleet = fleet(&["suva"], 2, 2, "");
     fleet.instances.iter().for_each(|instance| instance.list.cut(true));
     fleet.command(0, &format!("drain engine {LEAVING}"));
     assert_left_alone(&fleet);
     fleet.command(0, &format!("undrain engine {LEAVING}"));
     let engine = address_of(&fleet, LEAVING);
-    let before = counted(&engine, "requests");
+    let before = engine_stat(&engine, "requests");
     wait_for("it gets work again", || {
-        let answer = stream(&fleet.instances[0].http, "urgent", "again", 2).expect("an answer");
-        assert_whole(&answer, "again", 2);
-        counted(&engine, "requests") > before
+        let response = stream(&fleet.instances[0].http, "urgent", "again", 2).expect("a response");
+        assert_whole(&response, "again", 2);
+        engine_stat(&engine, "requests") > before
     });
 }
 
 #[test]
-fn by_its_own_word_while_list_and_log_are_down() {
+fn a_server_that_reports_leaving_gets_no_work_while_the_platform_is_down() {
     let fleet = fleet(&["suva"], 2, 2, "");
     for instance in &fleet.instances {
         instance.cut_platform(true);
--- a/crates/drumusher/tests/fleet/role.rs
+++ b/crates/drumusher/tests/fleet/failover.rs
@@ -1,42 +1,45 @@
-//! The dispatcher's role moves and no request is lost.
+//! No request is lost when another instance takes over as dispatcher, and requests can be observed.
 
 use std::time::Instant;
 
 use drumusher_bench::fleet::wait_for;
 
 use crate::support::{
-    address_of, all, another, assert_whole, at_once, counted, dispatcher, fleet, stream,
+    address_of, another_instance, assert_whole, dispatcher, engine_stat, fleet, join_all,
+    spawn_each, stream,
 };
 
-/// The dispatcher is killed with requests running and waiting: all are answered whole.
+/// The dispatcher is killed while requests run and wait: all get complete responses.
 #[test]
-fn requests_outlive_their_dispatcher() {
+fn requests_survive_a_killed_dispatcher() {
     let mut fleet = fleet(&["suva"], 3, 2, "");
     let http = fleet.instances[0].http.clone();
-    assert_whole(&stream(&http, "urgent", "first", 3).expect("an answer"), "first", 3);
-    let dead = dispatcher(&fleet, "model:draft");
-    let http = fleet.instances[another(&fleet, dead)].http.clone();
-    let answers = at_once(90, move |number| {
+    assert_whole(&stream(&http, "urgent", "first", 3).expect("a response"), "first", 3);
+    let killed = dispatcher(&fleet, "model:draft");
+    let http = fleet.instances[another_instance(&fleet, killed)].http.clone();
+    let responses = spawn_each(90, move |number| {
         let tag = format!("t{number}");
-        assert_whole(&stream(&http, "urgent", &tag, 40).expect("an answer"), &tag, 40);
+        assert_whole(&stream(&http, "urgent", &tag, 40).expect("a response"), &tag, 40);
     });
     let engine = address_of(&fleet, "suva-engine-0");
-    wait_for("some run", || counted(&engine, "running") > 5);
+    wait_for("some run", || engine_stat(&engine, "running") > 5);
     let since = Instant::now();
-    fleet.instances[dead].kill();
-    all(answers);
-    // For the log of the run, not a bound: the figure is in docs/BENCHMARKS.md.
-    println!("all answered {} ms after the dispatcher's death", since.elapsed().as_millis());
+    fleet.instances[killed].kill();
+    join_all(responses);
+    // Only printed, not asserted: docs/BENCHMARKS.md has the figure.
+    println!("all completed {} ms after the dispatcher was killed", since.elapsed().as_millis());
     wait_for("another one dispatches", || {
-        let rows = fleet.ask(another(&fleet, dead), "show instances").expect("an answer").lines();
+        let rows = fleet
+            .ask(another_instance(&fleet, killed), "show instances")
+            .expect("a response")
+            .lines();
         rows.iter().any(|row| row["dispatches"].to_string().contains("model:draft"))
     });
 }
 
-/// The way between two instances of a zone is cut, both ways, and heals: requests at either are
-/// answered all the while.
+/// The two instances of a zone are partitioned from each other and reconnected, twice: both serve requests all the time.
 #[test]
-fn instances_that_cannot_reach_each_other_go_on() {
+fn partitioned_instances_serve_requests() {
     let fleet = fleet(&["suva"], 2, 2, "");
     let names: Vec<String> = fleet.instances.iter().map(|i| i.name.clone()).collect();
     for cut in [true, false, true, false] {
@@ -45,39 +48,39 @@
         for (number, instance) in fleet.instances.iter().enumerate() {
             for round in 0..3 {
                 let tag = format!("t{number}-{round}");
-                let answer = stream(&instance.http, "urgent", &tag, 5).expect("an answer");
-                assert_whole(&answer, &tag, 5);
+                let response = stream(&instance.http, "urgent", &tag, 5).expect("a response");
+                assert_whole(&response, &tag, 5);
             }
         }
     }
 }
 
-/// Every step of a request can be asked for, with the reason of each decision.
+/// `show request` returns the steps of a request with the reasons of the decisions, and the spans of its trace.
 #[test]
-fn a_request_explains_itself() {
+fn the_steps_and_spans_of_a_request_can_be_queried() {
     let fleet = fleet(&["suva"], 2, 1, "");
-    let answer = stream(&fleet.instances[1].http, "urgent", "why", 3).expect("an answer");
-    let id = answer.header("x-request-id").expect("an identity").to_string();
-    let trace = answer.header("drumusher-trace").expect("a trace").to_string();
+    let response = stream(&fleet.instances[1].http, "urgent", "why", 3).expect("a response");
+    let id = response.header("x-request-id").expect("an identity").to_string();
+    let trace = response.header("drumusher-trace").expect("a trace").to_string();
     wait_for("the steps are known", || {
-        let rows = fleet.ask(0, &format!("show request {id}")).expect("an answer").lines();
+        let rows = fleet.ask(0, &format!("show request {id}")).expect("a response").lines();
         let text = rows.iter().map(|row| row["what"].to_string()).collect::<String>();
         text.contains("arrived in class urgent") && text.contains("granted suva-engine-0")
     });
     wait_for("the spans are known", || {
-        let rows = fleet.ask(0, &format!("show request {trace}")).expect("an answer").lines();
+        let rows = fleet.ask(0, &format!("show request {trace}")).expect("a response").lines();
         let spans: Vec<String> = rows.iter().map(|row| row["span"].to_string()).collect();
         ["request", "ask", "attempt"].iter().all(|hop| spans.contains(&format!("\"{hop}\"")))
     });
 }
 
-/// Each request has a log line at level debug, a JSON object with its identity, workspace and trace.
+/// At log level debug each request has a JSON log line with its ID, workspace and trace ID.
 #[test]
-fn a_request_has_its_log_line() {
+fn a_request_is_logged() {
     let fleet = fleet(&["suva"], 1, 1, "[telemetry]\nlevel = \"debug\"");
-    let answer = stream(&fleet.instances[0].http, "urgent", "logged", 3).expect("an answer");
-    let id = answer.header("x-request-id").expect("an identity");
-    let trace = answer.header("drumusher-trace").expect("a trace");
+    let response = stream(&fleet.instances[0].http, "urgent", "logged", 3).expect("a response");
+    let id = response.header("x-request-id").expect("an identity");
+    let trace = response.header("drumusher-trace").expect("a trace");
     wait_for("the line is written", || {
         let lines = fleet.instances[0].lines();
         let parsed = lines.lines().filter_map(|line| serde_json::from_str(line).ok());
@@ -88,7 +91,7 @@
     });
 }
 
-/// Spans and metrics go to a collector if one is set, and metrics can be read without one.
+/// Spans go to the OTLP collector from the settings, and `/metrics` has the metrics.
 #[test]
 fn spans_and_metrics_are_exported() {
     let collector = drumusher_bench::stand_in::start(drumusher_bench::stand_in::Kind::Service);
@@ -96,7 +99,7 @@
     let settings = format!("[telemetry]\notlp = \"http://{collector}\"\n");
     let fleet = fleet(&["suva"], 1, 1, &settings);
     let http = &fleet.instances[0].http;
-    assert_whole(&stream(http, "urgent", "seen", 3).expect("an answer"), "seen", 3);
+    assert_whole(&stream(http, "urgent", "seen", 3).expect("a response"), "seen", 3);
     wait_for("the spans are exported", || {
         let calls = drumusher_bench::client::get(&collector, "/calls", &[]).expect("calls");
         calls.body.contains("/v1/traces")
--- a/crates/drumusher/tests/fleet/main.rs
+++ b/crates/drumusher/tests/fleet/main.rs
@@ -1,18 +1,18 @@
-//! Tests on separate processes: instances and, on threads of the test, stand-ins. One file for
-//! each promise of the brief; `docs/PROOFS.md` has the table.
+//! Integration tests that run instances as processes of their own, against stand-ins of the backend servers and of the
+//! platform on threads of the test. Each file tests one guarantee; `docs/PROOFS.md` maps guarantees to tests.
 
 mod at_most_once;
 mod bad_input;
+mod complete_response;
 mod configuration;
-mod cut_zone;
-mod disturbance;
+mod draining;
+mod end_to_end;
 mod engine_pause;
-mod every_class;
-mod leaving;
-mod path;
-mod planned_stop;
-mod role;
+mod failover;
+mod isolation;
+mod refusal;
+mod shutdown;
+mod starvation;
 mod support;
 mod tiers;
-mod truthful_refusal;
-mod whole_answer;
+mod zone_partition;
--- a/crates/drumusher/tests/fleet/truthful_refusal.rs
+++ b/crates/drumusher/tests/fleet/refusal.rs
@@ -1,13 +1,13 @@
-//! A refusal saying a request was not run is true.
+//! A request that was refused as not run has in fact not run.
 
 use std::collections::BTreeSet;
 
-use crate::support::{address_of, all, at_once, book, calls, fleet, says_not_run, switch};
+use crate::support::{address_of, book, calls, fleet, join_all, says_not_run, spawn_each, switch};
 
-/// Bookings by many callers while the log goes away and comes back, and the service loses answers:
-/// no booking whose caller was told "not run" ever ran.
+/// Many callers send bookings while the log fails and recovers and the service loses responses: no booking that was
+/// answered as not run has run.
 #[test]
-fn what_was_refused_never_ran() {
+fn refused_bookings_never_run() {
     let fleet = fleet(&["suva"], 2, 1, "");
     let log = fleet.log.to_string();
     let desk = address_of(&fleet, "suva-desk");
@@ -21,45 +21,47 @@
         (r#"{"read_only": true}"#, ""),
         (r#"{"read_only": false, "lose_every": 0}"#, r#"{"lose_answers": false}"#),
     ];
-    for (round, (of_log, of_desk)) in rounds.iter().enumerate() {
-        [(&log, of_log), (&desk, of_desk)]
+    for (round, (log_switches, service_switches)) in rounds.iter().enumerate() {
+        [(&log, log_switches), (&desk, service_switches)]
             .iter()
             .filter(|(_, s)| !s.is_empty())
             .for_each(|(address, switches)| switch(address, switches));
         let addresses: Vec<String> =
             fleet.instances.iter().map(|instance| instance.http.clone()).collect();
-        let answers = at_once(8, move |number| {
+        let responses = spawn_each(8, move |number| {
             let body = format!("booking {round}/{number}");
             let key = (number % 2 == 0).then(|| format!("key-{round}-{number}"));
             let address = &addresses[number % addresses.len()];
-            (body.clone(), book(address, key.as_deref(), &body).expect("an answer"))
+            (body.clone(), book(address, key.as_deref(), &body).expect("a response"))
         });
-        for (body, answer) in all(answers) {
-            if says_not_run(&answer) {
+        for (body, response) in join_all(responses) {
+            if says_not_run(&response) {
                 refused.insert(body);
-            } else if answer.status == 200 {
+            } else if response.status == 200 {
                 ran.insert(body);
             }
         }
     }
     let calls: Vec<String> = calls(&fleet, "suva").into_iter().map(|call| call.body).collect();
     let called: BTreeSet<String> = calls.iter().cloned().collect();
-    assert!(!refused.is_empty() && !ran.is_empty(), "the test provoked both");
-    assert_eq!(refused.intersection(&called).next(), None, "said not run, and ran");
-    assert_eq!(ran.difference(&called).next(), None, "said ran, and did not");
-    assert_eq!(calls.len(), called.len(), "something ran twice");
+    assert!(!refused.is_empty() && !ran.is_empty(), "the test caused both refusals and runs");
+    assert_eq!(refused.intersection(&called).next(), None, "a booking refused as not run has run");
+    assert_eq!(ran.difference(&called).next(), None, "a booking answered with 200 has not run");
+    assert_eq!(calls.len(), called.len(), "a booking ran twice");
 }
 
-/// Without any server of the service the refusal comes at once and says when to come back.
+/// If no server of a service can be reached, a request is refused with a `retry-after` header.
 #[test]
-fn an_unreachable_service_is_refused_at_once() {
+fn a_request_for_an_unreachable_service_is_refused() {
     let mut fleet = fleet(&["suva"], 1, 1, "");
     for backend in fleet.backends.iter_mut().filter(|backend| backend.kind == "service") {
         backend.address = "127.0.0.1:1".parse().expect("an address");
     }
     fleet.publish().expect("the list is replaced");
     drumusher_bench::fleet::wait_for("the new address is known", || {
-        let answer = book(&fleet.instances[0].http, None, "late").expect("an answer");
-        answer.status == 503 && says_not_run(&answer) && answer.header("retry-after").is_some()
+        let response = book(&fleet.instances[0].http, None, "late").expect("a response");
+        response.status == 503
+            && says_not_run(&response)
+            && response.header("retry-after").is_some()
     });
 }
--- a/crates/drumusher/tests/fleet/support.rs
+++ b/crates/drumusher/tests/fleet/support.rs
@@ -1,4 +1,4 @@
-//! Helpers of all fleet tests.
+//! Helpers shared by the fleet tests.
 
 use std::{
     io,
@@ -14,13 +14,14 @@
 };
 use serde_json::{Value, json};
 
-/// The model that engines of test fleets serve.
+/// Model that the engines of a test fleet serve.
 pub const MODEL: &str = "draft";
-/// The plain service of test fleets.
+/// Service of a test fleet that is no inference engine.
 pub const SERVICE: &str = "desk";
 
-/// A configured fleet: `zones` availability zones with `instances` instances, `engines` engines
-/// and one service server each.
+/// Starts a fleet with `instances` instances, `engines` engines and one server of the plain service in each of the
+/// availability zones `zones`, and waits until all instances are ready and have the same configuration.
+/// `settings` is TOML that is added to the settings of each instance.
 pub fn fleet(zones: &[&str], instances: usize, engines: usize, settings: &str) -> Fleet {
     let mut fleet = Fleet::new(env!("CARGO_BIN_EXE_drumusher")).expect("the stand-ins start");
     fleet = fleet.with_settings(settings);
@@ -41,7 +42,7 @@
     fleet
 }
 
-/// A completion of `tokens` tokens whose prompt begins with `tag`.
+/// Requests a completion of `tokens` tokens whose prompt begins with `tag` at the instance with the index `instance`.
 pub fn complete(
     fleet: &Fleet,
     instance: usize,
@@ -53,20 +54,20 @@
     send(&fleet.instances[instance].http, "/v1/completions", class, &[], &body.to_string())
 }
 
-/// A streamed completion.
+/// Requests a streamed completion of `tokens` tokens whose prompt begins with `tag`, and reads it to its end.
 pub fn stream(address: &str, class: &str, tag: &str, tokens: u32) -> io::Result<Response> {
     let prompt = format!("{tag} tell");
     let body = json!({"model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": true});
     send(address, "/v1/completions", class, &[], &body.to_string())
 }
 
-/// A booking at the plain service.
+/// Sends a booking to the plain service, with `key` as its idempotency key if there is one.
 pub fn book(address: &str, key: Option<&str>, body: &str) -> io::Result<Response> {
     let extra: Vec<(&str, &str)> = key.iter().map(|key| ("idempotency-key", *key)).collect();
     send(address, &format!("/services/{SERVICE}/bookings"), "booking", &extra, body)
 }
 
-/// A request of workspace `vanua`.
+/// Sends a request of the workspace `vanua`.
 pub fn send(
     address: &str,
     path: &str,
@@ -84,8 +85,8 @@
     client::post(address, path, &headers, body)
 }
 
-/// Sends `count` requests at once from as many threads and returns their answers in order.
-pub fn at_once<T: Send + 'static>(
+/// Calls `send` with each of `0..count` on a thread of its own. Returns the threads in that order, for `join_all`.
+pub fn spawn_each<T: Send + 'static>(
     count: usize,
     send: impl Fn(usize) -> T + Send + Sync + 'static,
 ) -> Vec<JoinHandle<T>> {
@@ -97,82 +98,88 @@
     (0..count).map(start).collect()
 }
 
-/// The answers of threads that were started before.
-pub fn all<T>(threads: Vec<JoinHandle<T>>) -> Vec<T> {
+/// Joins the threads and returns their results in order.
+pub fn join_all<T>(threads: Vec<JoinHandle<T>>) -> Vec<T> {
     threads.into_iter().map(|thread| thread.join().expect("the thread ends")).collect()
 }
 
-/// Sets switches of a stand-in.
+/// Sets the fault switches, a JSON object, of the stand-in at `address`.
 pub fn switch(address: &str, switches: &str) {
-    let response = client::post(address, "/switch", &[], switches).expect("the stand-in answers");
+    let response =
+        client::post(address, "/switch", &[], switches).expect("a response of the stand-in");
     assert_eq!(response.status, 200, "{}", response.body);
 }
 
-/// The address of a backend server.
+/// Address of the backend server called `name`.
 pub fn address_of(fleet: &Fleet, name: &str) -> String {
     let backend = fleet.backends.iter().find(|backend| backend.name == name);
-    backend.expect("there is such a backend server").address.to_string()
+    backend.expect("a backend server of that name").address.to_string()
 }
 
-/// A number that an engine counts.
-pub fn counted(address: &str, what: &str) -> u64 {
-    let stats = client::get(address, "/stats", &[]).expect("the engine answers").json();
-    stats[what].as_u64().expect("the engine counts it")
+/// Value of a counter in the statistics of an engine.
+pub fn engine_stat(address: &str, what: &str) -> u64 {
+    let stats = client::get(address, "/stats", &[]).expect("a response of the engine").json();
+    stats[what].as_u64().expect("a counter of the engine")
 }
 
-/// The calls that the service of a zone ran.
+/// Calls that the plain service of an availability zone has run.
 pub fn calls(fleet: &Fleet, zone: &str) -> Vec<Call> {
     let address = address_of(fleet, &format!("{zone}-desk"));
-    let response = client::get(&address, "/calls", &[]).expect("the service answers");
+    let response = client::get(&address, "/calls", &[]).expect("a response of the service");
     serde_json::from_str(&response.body).expect("calls")
 }
 
-/// The instance that dispatches a pool, by the others' knowledge of it.
+/// Index of the instance that dispatches a pool, according to instance 0.
 pub fn dispatcher(fleet: &Fleet, pool: &str) -> usize {
-    let rows = fleet.ask(0, "show instances").expect("an answer").lines();
+    let rows = fleet.ask(0, "show instances").expect("a response").lines();
     let dispatches = |row: &&Value| {
         let pools = row["dispatches"].as_array();
         pools.is_some_and(|pools| pools.contains(&json!(pool)))
     };
-    let row = rows.iter().find(dispatches).unwrap_or_else(|| panic!("nobody: {rows:?}"));
+    let row = rows.iter().find(dispatches).unwrap_or_else(|| panic!("no dispatcher: {rows:?}"));
     let name = row["instance"].as_str().expect("a name").to_string();
-    fleet.instances.iter().position(|instance| instance.name == name).expect("one of the fleet")
+    fleet
+        .instances
+        .iter()
+        .position(|instance| instance.name == name)
+        .expect("an instance of the fleet")
 }
 
-/// An instance that is not `other`.
-pub fn another(fleet: &Fleet, other: usize) -> usize {
-    (0..fleet.instances.len()).find(|number| *number != other).expect("there are two")
+/// Index of an instance other than `other`.
+pub fn another_instance(fleet: &Fleet, other: usize) -> usize {
+    (0..fleet.instances.len()).find(|number| *number != other).expect("a second instance")
 }
 
-/// Whether an answer says truthfully or not that the request was not run.
+/// Whether a response claims that the request was not run.
 pub fn says_not_run(response: &Response) -> bool {
     response.json()["error"]["ran"] == "no"
 }
 
-/// Checks a whole streamed answer.
+/// Asserts that a streamed response is complete and is the one for `tag`.
 pub fn assert_whole(response: &Response, tag: &str, tokens: u32) {
     assert_eq!(response.status, 200, "{}", response.body);
     assert_eq!(response.streamed_text(), engine::answer(tag, tokens));
     assert!(response.body.ends_with("data: [DONE]\n\n"), "{}", response.body);
 }
 
-/// A streamed request on a bare connection, to be dropped in the middle.
+/// Sends a streamed request and returns its connection, for tests that close it before the response ends.
 pub fn raw_stream(address: &str, tag: &str, tokens: u32) -> TcpStream {
     client::open_stream(address, &fleet::key("vanua"), tag, tokens).expect("the instance accepts")
 }
 
-/// An operator's statement and the first line of its answer.
-pub fn operator(address: &str, statement: &str) -> Value {
-    operator_with_nonce(address, statement, "")
+/// Runs an operator's statement and returns the first line of the response.
+pub fn run_statement(address: &str, statement: &str) -> Value {
+    run_statement_with_nonce(address, statement, "")
 }
 
-/// The same with a nonce of an earlier attempt.
-pub fn operator_with_nonce(address: &str, statement: &str, nonce: &str) -> Value {
+/// Like `run_statement`, as a retry with the nonce of an earlier attempt.
+pub fn run_statement_with_nonce(address: &str, statement: &str, nonce: &str) -> Value {
     let authorization = format!("Bearer {}", fleet::OPERATOR_KEY);
     let mut headers = vec![("authorization", authorization.as_str())];
     if !nonce.is_empty() {
         headers.push(("drumusher-nonce", nonce));
     }
-    let answer = client::post(address, "/operator/query", &headers, statement).expect("an answer");
-    answer.lines().first().cloned().unwrap_or_else(|| panic!("{}", answer.body))
+    let response =
+        client::post(address, "/operator/query", &headers, statement).expect("a response");
+    response.lines().first().cloned().unwrap_or_else(|| panic!("{}", response.body))
 }
