--- a/crates/drumusher/tests/unit/place.rs
+++ b/crates/drumusher/tests/unit/arrival_token.rs
@@ -1,4 +1,4 @@
-//! Place tokens.
+//! Arrival tokens, with which a retry keeps its place in the queue.
 
 use drumusher::{
     process::clock,
@@ -10,7 +10,7 @@
 const SECRET: &str = "a secret of the fleet";
 
 #[test]
-fn a_genuine_token_keeps_the_arrival() {
+fn a_valid_token_has_the_arrival_time() {
     let arrived = clock::unix_ms() - 5_000;
     let token = issue(SECRET, "vanua", "pickup", arrived);
     assert_eq!(verify(SECRET, "vanua", "pickup", &token), Some(arrived));
@@ -21,7 +21,7 @@
 #[case::other_workspace(SECRET, "hizlikosu", "pickup", 1_000)]
 #[case::other_class(SECRET, "vanua", "bulk", 1_000)]
 #[case::too_old(SECRET, "vanua", "pickup", 700_000)]
-fn any_other_is_worth_nothing(
+fn an_invalid_token_is_refused(
     #[case] secret: &str,
     #[case] workspace: &str,
     #[case] class: &str,
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn an_arrival_in_the_future_is_worth_nothing() {
+fn an_arrival_in_the_future_is_refused() {
     let token = issue(SECRET, "vanua", "pickup", clock::unix_ms() + 60_000);
     assert_eq!(verify(SECRET, "vanua", "pickup", &token), None);
 }
 
 proptest! {
     #[test]
-    fn any_text_is_refused_without_a_panic(text in ".{0,80}") {
+    fn arbitrary_text_is_refused_without_a_panic(text in ".{0,80}") {
         prop_assert_eq!(verify(SECRET, "vanua", "pickup", &text), None);
     }
 }
--- a/crates/drumusher/tests/unit/directory.rs
+++ b/crates/drumusher/tests/unit/directory.rs
@@ -1,8 +1,8 @@
-//! Who is there.
+//! The directory of backend servers and instances.
 //!
-//! Each change of a backend server makes a new directory at each instance. Looking for each server among those entered
-//! before took 20 ms at 3,000 servers, where a day of 300 instances has thousands of changes: it took more processor
-//! time than its players have, half of it here.
+//! Each instance builds a new directory for each change of a backend server. Guards against a linear search for each
+//! server while the directory is built, which took 20 ms at 3,000 servers. A simulated day of 300 instances has thousands
+//! of changes and then used more processor time than was available, half of it in this search.
 
 use std::{sync::Arc, time::Instant};
 
@@ -22,23 +22,23 @@
     }
 }
 
-/// A directory of thousands of servers has each of them once, by name. Prints how long it took; for a figure, run it
-/// in release with `--nocapture`.
+/// A directory has each of 3,000 servers once, by name. Prints the time that it takes; for a meaningful figure run it in
+/// release mode with `--nocapture`.
 #[test]
-fn thousands_of_servers_are_found_by_name() {
+fn servers_are_found_by_name_in_a_large_directory() {
     let servers: Vec<Server> = (0..3_000).map(server).collect();
     let area: Arc<str> = "r".into();
-    let began = Instant::now();
+    let start = Instant::now();
     let twice = servers.iter().chain(&servers[..10]);
     let directory = Directory::from_servers(&area, std::iter::empty(), twice);
-    println!("built in {:?}", began.elapsed());
+    println!("built in {:?}", start.elapsed());
     let pool = Pool::Service("s".into());
     assert_eq!(directory.backends(&pool, &area).count(), 3_000);
-    let began = Instant::now();
+    let start = Instant::now();
     for server in &servers {
         let found = directory.backend(&pool, &server.id).expect("it is there");
         assert_eq!(&*found.availability_zone, server.availability_zone.as_str());
     }
-    println!("all found in {:?}", began.elapsed());
+    println!("all found in {:?}", start.elapsed());
     assert!(directory.backend(&pool, "another").is_none());
 }
--- a/crates/drumusher/tests/unit/story.rs
+++ b/crates/drumusher/tests/unit/explain.rs
@@ -1,4 +1,4 @@
-//! What log lines tell of one request.
+//! The explanation of a single request from log lines.
 
 use drumusher::explain::{Cause, Explanation};
 use proptest::prelude::*;
@@ -24,11 +24,11 @@
     let lines = [line("2", message, "a"), line("1", "attempt ended: silent", "a")];
     let explanation = Explanation::new("a", lines.iter().map(String::as_str));
     assert_eq!((explanation.cause, explanation.steps.len()), (cause, 2));
-    assert_eq!(explanation.steps[0].time, "1", "in order of time");
+    assert_eq!(explanation.steps[0].time, "1", "steps are sorted by time");
 }
 
 #[test]
-fn lines_of_other_requests_and_other_programs_are_passed_over() {
+fn lines_of_other_requests_and_programs_are_ignored() {
     let lines = [line("1", "request ended: delivered", "b"), "no JSON".into(), "{}".into()];
     let explanation = Explanation::new("a", lines.iter().map(String::as_str));
     assert!(explanation.steps.is_empty());
@@ -38,14 +38,14 @@
 
 proptest! {
     #[test]
-    fn any_text_is_explained(text in "(.|\n){0,300}") {
+    fn arbitrary_text_causes_no_panic(text in "(.|\n){0,300}") {
         let explanation = Explanation::new("a", text.lines());
         let _ = (explanation.to_string(), explanation.to_json());
     }
 }
 
 #[test]
-fn a_failure_that_was_delivered_is_told_as_one() {
+fn a_delivered_failure_is_reported_as_one() {
     let line = line("1", "request ended: delivered", "a")
         .replace("\"attempt\":\"1\"", "\"status\":\"500\"");
     assert_eq!(Explanation::new("a", [line.as_str()].into_iter()).cause, Cause::FailureDelivered);
--- a/crates/drumusher/tests/unit/fetch.rs
+++ b/crates/drumusher/tests/unit/fetch.rs
@@ -1,14 +1,14 @@
-//! Fetching an update piece by piece.
+//! Fetching of a large update from peers, piece by piece.
 
 use drumusher::process::peers::{Fetch, PeerKind, Piece, Request, Step};
 use drumusher_log::position::Position;
 use drumusher_schedule::time::{MILLISECOND, SECOND};
 use rstest::rstest;
 
-/// The instance that was asked to tell, and another one, by their connections.
+/// Connections of the instance that relays updates to this one, and of another one.
 const SOURCE: u32 = 1;
 const OTHER: u32 = 2;
-/// What is known here.
+/// The position that this instance has read.
 const KNOWN: Position = Position { era: 1, offset: 7 };
 const DIGEST: i64 = 0x5eed;
 
@@ -20,7 +20,7 @@
     Request { conn, known: KNOWN, at, digest: (at > 0).then_some(DIGEST) }
 }
 
-/// A fetch from the teller, of which the first two of six bytes came.
+/// A fetch from the source that has received the first two of six bytes.
 fn begun() -> Fetch {
     let mut fetch = Fetch::new();
     assert_eq!(fetch.peer_ahead(0, KNOWN, SOURCE, PeerKind::Source), Some(request(SOURCE, 0)));
@@ -30,37 +30,37 @@
 }
 
 #[test]
-fn pieces_make_a_whole() {
+fn pieces_are_assembled() {
     let mut fetch = begun();
     assert_eq!(fetch.receive(1, SOURCE, &piece(2, b"cd")), Step::Next(request(SOURCE, 4)));
     assert_eq!(fetch.receive(2, SOURCE, &piece(4, b"ef")), Step::Complete(b"abcdef".to_vec()));
 }
 
-/// While pieces come, nobody else is asked, however many others are ahead.
+/// While pieces arrive no other peer is asked, even if others are ahead too.
 #[test]
-fn one_is_asked_at_a_time() {
+fn one_peer_is_asked_at_a_time() {
     let mut fetch = begun();
     for at in 1..10 {
         assert_eq!(fetch.peer_ahead(at * 99 * MILLISECOND, KNOWN, OTHER, PeerKind::Other), None);
     }
 }
 
-/// Another one is asked only after the teller had time to tell.
+/// Another peer is asked only after the source had time to send the update.
 #[test]
-fn others_wait_for_the_teller() {
+fn the_source_is_preferred() {
     let mut fetch = Fetch::new();
     assert_eq!(fetch.peer_ahead(0, KNOWN, OTHER, PeerKind::Other), None);
     assert_eq!(fetch.peer_ahead(250 * MILLISECOND, KNOWN, OTHER, PeerKind::Other), None);
-    let asked = fetch.peer_ahead(500 * MILLISECOND, KNOWN, OTHER, PeerKind::Other);
-    assert_eq!(asked, Some(request(OTHER, 0)));
+    let requested = fetch.peer_ahead(500 * MILLISECOND, KNOWN, OTHER, PeerKind::Other);
+    assert_eq!(requested, Some(request(OTHER, 0)));
 }
 
-/// A connection that breaks costs nothing of what came: another instance, or the same one over a new
-/// connection, goes on from there.
+/// A closed connection loses no received bytes: the fetch continues there with another instance, or with the same one over
+/// a new connection.
 #[rstest]
 #[case::another(OTHER)]
 #[case::the_same(SOURCE)]
-fn what_came_is_kept(#[case] next: u32) {
+fn received_pieces_are_kept(#[case] next: u32) {
     let mut fetch = begun();
     fetch.connection_closed(SOURCE);
     let again = fetch.peer_ahead(SECOND, KNOWN, next, PeerKind::Other);
@@ -68,20 +68,20 @@
     let other = Piece { digest: 9, at: 0, total: 6, bytes: b"xy" };
     let begins = fetch.receive(SECOND, next, &other);
     let anew = Request { digest: Some(9), ..request(next, 2) };
-    assert_eq!(begins, Step::Next(anew), "one that knows something else begins anew");
+    assert_eq!(begins, Step::Next(anew), "a peer with other content restarts the fetch");
 }
 
-/// One that says nothing is given up for whoever is ahead.
+/// A peer that doesn't respond is replaced by another one that is ahead.
 #[test]
-fn a_silent_instance_is_left() {
+fn an_unresponsive_peer_is_replaced() {
     let mut fetch = begun();
     assert_eq!(fetch.peer_ahead(900 * MILLISECOND, KNOWN, OTHER, PeerKind::Other), None);
-    let asked = fetch.peer_ahead(1_500 * MILLISECOND, KNOWN, OTHER, PeerKind::Other);
-    assert_eq!(asked, Some(request(OTHER, 2)));
+    let requested = fetch.peer_ahead(1_500 * MILLISECOND, KNOWN, OTHER, PeerKind::Other);
+    assert_eq!(requested, Some(request(OTHER, 2)));
 }
 
-/// What does not continue is passed over: a piece that came twice, one of something else, one that claims
-/// to be longer than the whole, an empty one.
+/// Pieces that don't continue the fetch are ignored: duplicates, gaps, pieces of other content or with another total length,
+/// and empty ones.
 #[rstest]
 #[case(piece(0, b"ab"))]
 #[case(piece(4, b"ef"))]
@@ -89,16 +89,16 @@
 #[case(Piece { total: 3, ..piece(2, b"cd") })]
 #[case(Piece { total: usize::MAX, ..piece(2, b"cd") })]
 #[case(piece(2, b""))]
-fn what_does_not_continue_is_passed_over(#[case] other: Piece<'static>) {
+fn unexpected_pieces_are_ignored(#[case] other: Piece<'static>) {
     let mut fetch = begun();
     assert_eq!(fetch.receive(1, SOURCE, &other), Step::None);
     assert_eq!(fetch.receive(1, SOURCE, &piece(2, b"cd")), Step::Next(request(SOURCE, 4)));
 }
 
-/// A whole update is put into force by another thread; it is not asked for again meanwhile, unless it could
-/// not be used, and what is newer is.
+/// Another thread applies a complete update. Meanwhile it is not requested again unless it was rejected, but a newer one
+/// is.
 #[test]
-fn what_is_being_taken_is_not_asked_for() {
+fn an_update_being_applied_is_not_requested_again() {
     let mut fetch = begun();
     let whole = Piece { at: 2, bytes: b"cdef", ..piece(0, b"") };
     assert!(matches!(fetch.receive(0, SOURCE, &whole), Step::Complete(_)));
--- a/crates/drumusher/tests/unit/main.rs
+++ b/crates/drumusher/tests/unit/main.rs
@@ -1,25 +1,25 @@
-//! Tests of parts of the binary that need no process.
+//! Tests of the crate's modules that start no process.
 
-mod answer;
-mod askers;
+mod arrival_token;
 mod backoff;
 mod broker;
 mod budget;
 mod catalog;
 mod directory;
+mod explain;
 mod fetch;
-mod host;
+mod hosted_pool;
 mod notices;
 mod options;
-mod place;
 mod records;
 mod registrations;
-mod relay;
 mod replica;
+mod requesters;
+mod response;
 mod ring;
 mod routing;
 mod settings;
-mod story;
+mod sse;
 mod summary;
 mod trials;
 mod uploads;
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -1,4 +1,5 @@
-//! What an instance keeps of what backend servers say of themselves, and what it lets through.
+//! Notices of backend servers (leaving, rate limits, rest periods): how an instance stores them, and which grants it
+//! withholds because of them.
 
 use std::{sync::Arc, time::Instant};
 
@@ -10,11 +11,11 @@
 use drumusher_schedule::time::{MILLISECOND, Micros, SECOND};
 use rstest::rstest;
 
-/// A moment of the process's clock.
+/// A time of the process clock.
 const NOW: Micros = 1_000 * SECOND;
-/// A grant of a dispatcher that knows nothing.
+/// A grant by a dispatcher that knows of no limit.
 const UNAWARE: KnownLimit = KnownLimit { limited: false, lifted: None };
-/// One that is counted among those that a limit allows.
+/// A grant that its dispatcher counted against a limit.
 const COUNTED: KnownLimit = KnownLimit { limited: true, lifted: None };
 
 fn pool() -> Pool {
@@ -46,13 +47,18 @@
     Notice { rest_ms: Some(rest_ms), ..Notice::default() }
 }
 
-/// Hears the answer to a request that was sent 20 ms before on an unaware grant.
-fn hear(notices: &Notices, at: Micros, server: &Backend, notice: Notice) -> Option<Record> {
-    hear_answer(notices, at, server, (at - 20 * MILLISECOND, UNAWARE), notice)
+/// Records a response to a request that was sent 20 ms before, on a grant by a dispatcher that knew of no limit.
+fn record_response(
+    notices: &Notices,
+    at: Micros,
+    server: &Backend,
+    notice: Notice,
+) -> Option<Record> {
+    record_response_on_grant(notices, at, server, (at - 20 * MILLISECOND, UNAWARE), notice)
 }
 
-/// Hears the answer to a request that was sent at a time on a grant.
-fn hear_answer(
+/// Records a response to a request that was sent at `sent` on a grant with `known_limit`.
+fn record_response_on_grant(
     notices: &Notices,
     at: Micros,
     server: &Backend,
@@ -62,6 +68,7 @@
     notices.record_answer(at, &Answer { pool: &pool(), server, sent, known_limit, notice: &notice })
 }
 
+/// Why a request must not be sent to the server now, if so.
 fn why(
     notices: &Notices,
     at: Micros,
@@ -71,41 +78,48 @@
     notices.withheld(at, server, known_limit).map(|(why, _)| why)
 }
 
-/// An answer that says nothing leaves nothing behind.
+/// A response without a notice is not stored.
 #[test]
-fn silence_is_not_kept() {
+fn a_response_without_notice_is_not_stored() {
     let notices = Notices::default();
-    assert!(hear(&notices, NOW, &server("a", None), Notice::default()).is_none());
+    assert!(record_response(&notices, NOW, &server("a", None), Notice::default()).is_none());
     assert!(notices.all_in_force(NOW).is_empty());
     assert_eq!(why(&notices, NOW, &server("a", None), UNAWARE), None);
 }
 
-/// A server that leaves gets nothing more, whatever it says later, until it starts again.
+/// A server that is leaving gets no more requests, whatever its later responses say, until it restarts.
 #[test]
-fn one_that_leaves_does_so_until_it_starts_again() {
+fn a_leaving_server_stays_so_until_it_restarts() {
     let (notices, old, new) = (Notices::default(), server("a", Some(7)), server("a", Some(8)));
-    assert!(hear(&notices, NOW, &old, leaving()).is_some(), "the dispatcher is told");
-    hear(&notices, NOW + SECOND, &old, Notice::default());
+    assert!(
+        record_response(&notices, NOW, &old, leaving()).is_some(),
+        "the dispatcher is notified"
+    );
+    record_response(&notices, NOW + SECOND, &old, Notice::default());
     assert_eq!(why(&notices, NOW + 600 * SECOND, &old, COUNTED), Some(Withheld::Leaving));
     assert_eq!(why(&notices, NOW, &new, UNAWARE), None);
-    hear(&notices, NOW + SECOND, &new, limit(1_000));
+    record_response(&notices, NOW + SECOND, &new, limit(1_000));
     assert_eq!(why(&notices, NOW + SECOND, &new, COUNTED), None);
-    assert!(hear(&notices, NOW + 2 * SECOND, &old, leaving()).is_none(), "the old start is over");
+    assert!(
+        record_response(&notices, NOW + 2 * SECOND, &old, leaving()).is_none(),
+        "the notice is from before the restart"
+    );
     assert_eq!(why(&notices, NOW + 2 * SECOND, &new, COUNTED), None);
 }
 
-/// It is remembered although its entry lapses and comes back as if it were ready.
+/// A leaving server is remembered while its entry is missing, in case the entry is written again as if the server were
+/// ready. It is forgotten after a long time without an entry.
 #[test]
-fn one_that_leaves_is_remembered_while_its_entry_is_away() {
+fn a_leaving_server_is_remembered_while_its_entry_is_missing() {
     let (notices, server) = (Notices::default(), server("a", None));
-    hear(&notices, NOW, &server, leaving());
+    record_response(&notices, NOW, &server, leaving());
     notices.keep_listed(NOW + 60 * SECOND, &Directory::default());
     assert_eq!(why(&notices, NOW + 60 * SECOND, &server, UNAWARE), Some(Withheld::Leaving));
     notices.keep_listed(NOW + 3_600 * SECOND, &Directory::default());
-    assert!(notices.all_in_force(NOW).is_empty(), "and forgotten when it has been gone for long");
+    assert!(notices.all_in_force(NOW).is_empty(), "it is forgotten after an hour without an entry");
 }
 
-/// A rest holds for its time, and of two ends the later one.
+/// A rest period lasts as long as the server asked for; of two the one that ends later applies.
 #[rstest]
 #[case(&[3_000], 3_000)]
 #[case(&[250], 250)]
@@ -113,10 +127,10 @@
 #[case(&[3_000, 1_000], 3_000)]
 #[case(&[1_000, 3_000], 3_000)]
 #[case(&[86_400_000], 86_400_000)]
-fn a_rest_holds_for_its_time(#[case] rests: &[u64], #[case] holds_ms: u64) {
+fn a_rest_period_lasts_as_asked_for(#[case] rests: &[u64], #[case] holds_ms: u64) {
     let (notices, server) = (Notices::default(), server("a", None));
     for rest_ms in rests {
-        hear(&notices, NOW, &server, rest(*rest_ms));
+        record_response(&notices, NOW, &server, rest(*rest_ms));
     }
     let end = NOW + holds_ms * MILLISECOND;
     let before = why(&notices, end - 1, &server, COUNTED);
@@ -124,23 +138,23 @@
     assert_eq!(why(&notices, end, &server, UNAWARE), None);
 }
 
-/// A grant that was not counted among those that the limit allows is not obeyed; one of a dispatcher that knows of the
-/// limit's end, which this instance does not, is.
+/// A grant that was not counted against a known limit is withheld, unless its dispatcher knows that the limit has been
+/// lifted since.
 #[test]
-fn a_limit_lets_counted_grants_through() {
+fn a_limit_permits_counted_grants() {
     let (notices, server) = (Notices::default(), server("a", None));
-    hear(&notices, NOW, &server, limit(1_400));
+    record_response(&notices, NOW, &server, limit(1_400));
     assert_eq!(why(&notices, NOW, &server, UNAWARE), Some(Withheld::Limited));
     assert_eq!(why(&notices, NOW, &server, COUNTED), None);
     let before = KnownLimit { limited: false, lifted: Some(NOW - SECOND) };
     assert_eq!(why(&notices, NOW, &server, before), Some(Withheld::Limited));
     let after = KnownLimit { limited: false, lifted: Some(NOW + 2 * SECOND) };
     assert_eq!(why(&notices, NOW + 3 * SECOND, &server, after), None);
-    assert!(notices.all_in_force(NOW + 3 * SECOND).is_empty(), "it is known here from now on");
+    assert!(notices.all_in_force(NOW + 3 * SECOND).is_empty(), "the instance knows it from now on");
 }
 
-/// An answer without a limit lifts it, unless its request was sent before or just after the limit was named: answers
-/// overtake each other. What cannot be read lifts nothing.
+/// A response without a limit lifts a known one, unless its request was sent before or just after the limit was announced,
+/// since responses may arrive out of order. A malformed notice lifts nothing.
 #[rstest]
 #[case(Notice::default(), NOW - SECOND, false)]
 #[case(Notice::default(), NOW + 500 * MILLISECOND, false)]
@@ -148,37 +162,46 @@
 #[case(Notice { malformed: true, ..Notice::default() }, NOW + 1_500 * MILLISECOND, false)]
 fn what_lifts_a_limit(#[case] notice: Notice, #[case] sent: Micros, #[case] lifted: bool) {
     let (notices, server) = (Notices::default(), server("a", None));
-    hear(&notices, NOW, &server, limit(0));
-    let told = hear_answer(&notices, NOW + 2 * SECOND, &server, (sent, COUNTED), notice);
+    record_response(&notices, NOW, &server, limit(0));
+    let reported =
+        record_response_on_grant(&notices, NOW + 2 * SECOND, &server, (sent, COUNTED), notice);
     assert_eq!(why(&notices, NOW + 2 * SECOND, &server, UNAWARE).is_none(), lifted);
-    assert!(!lifted || told.is_some_and(|record| record.limit.lifted() == Some(sent)));
+    assert!(!lifted || reported.is_some_and(|record| record.limit.lifted() == Some(sent)));
 }
 
-/// An instance that never heard of a limit tells its dispatcher, which counted its grant, that it is not named.
+/// If a dispatcher counted a grant against a limit that this instance doesn't know, a response without a limit is reported
+/// to that dispatcher.
 #[test]
-fn the_dispatcher_is_told_that_a_limit_is_not_named() {
+fn a_missing_limit_is_reported_to_the_dispatcher() {
     let (notices, server) = (Notices::default(), server("a", None));
-    let told = hear_answer(&notices, NOW, &server, (NOW - SECOND, COUNTED), Notice::default());
-    assert_eq!(told.and_then(|record| record.limit.lifted()), Some(NOW - SECOND));
+    let reported = record_response_on_grant(
+        &notices,
+        NOW,
+        &server,
+        (NOW - SECOND, COUNTED),
+        Notice::default(),
+    );
+    assert_eq!(reported.and_then(|record| record.limit.lifted()), Some(NOW - SECOND));
 }
 
-/// A header that comes a thousand times a second is told a few times.
+/// A limit that a thousand responses repeat within a second is reported at most four times.
 #[test]
-fn a_limit_that_is_named_all_the_time_is_told_now_and_then() {
+fn reports_of_an_unchanged_limit_are_rate_limited() {
     let (notices, server) = (Notices::default(), server("a", None));
-    let told = (0..1_000)
-        .filter(|at| hear(&notices, NOW + at * MILLISECOND, &server, limit(5_000)).is_some());
-    assert!(told.count() <= 4);
-    let changed = hear(&notices, NOW + SECOND, &server, limit(200));
-    assert!(changed.is_some(), "a change is told at once");
+    let reported = (0..1_000).filter(|at| {
+        record_response(&notices, NOW + at * MILLISECOND, &server, limit(5_000)).is_some()
+    });
+    assert!(reported.count() <= 4);
+    let changed = record_response(&notices, NOW + SECOND, &server, limit(200));
+    assert!(changed.is_some(), "a change is reported at once");
 }
 
-/// What is known is bounded, and the oldest gives way.
+/// The number of stored notices is bounded; the oldest are dropped first.
 #[test]
-fn what_is_known_is_bounded() {
+fn stored_notices_are_bounded() {
     let notices = Notices::default();
     for number in 0..20_000 {
-        hear(&notices, NOW + number, &server(&format!("s{number}"), None), leaving());
+        record_response(&notices, NOW + number, &server(&format!("s{number}"), None), leaving());
     }
     let known = notices.in_force_for(NOW, &pool());
     assert!(known.len() <= 8_192, "{}", known.len());
@@ -186,11 +209,11 @@
     assert!(notices.in_force_for(NOW, &Pool::Service(Arc::from("other"))).is_empty());
 }
 
-/// Two limits as two instances know them, told in any order, end as the later word has it.
+/// Of announcements and lifts of a limit the one with the latest time applies, whatever the order of their arrival.
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn the_later_word_holds_in_any_order(#[case] in_order: bool) {
+fn the_latest_limit_applies_in_any_order(#[case] in_order: bool) {
     let mut known = Limit::default();
     let mut words = [(NOW, Rate(1_000)), (NOW + SECOND, Rate(2_000))];
     if !in_order {
@@ -201,34 +224,34 @@
     }
     assert_eq!(known.rate(), Some(Rate(2_000)));
     assert!(known.lift(NOW + 3 * SECOND));
-    assert!(!known.announce(NOW + 2 * SECOND, Rate(500)), "it was heard before the end");
+    assert!(!known.announce(NOW + 2 * SECOND, Rate(500)), "it is older than the lift");
     assert_eq!(known.rate(), None);
     assert!(known.announce(NOW + 4 * SECOND, Rate(500)));
 }
 
-/// What hearing and looking cost where no server says anything and where a thousand do. Prints the figures; for ones that
-/// count, run it in release with `--nocapture`. Without any of it a request cost neither.
+/// Prints the cost of recording a response and of looking up a server, with notices of 0, 1 and 1,000 servers. For
+/// meaningful figures run it in release mode with `--nocapture`.
 #[test]
-fn what_it_costs_is_told() {
+fn cost_of_recording_and_lookup_is_printed() {
     const ROUNDS: u64 = 100_000;
     for servers in [0, 1, 1_000] {
         let notices = Notices::default();
         for number in 0..servers {
-            hear(&notices, NOW, &server(&format!("s{number}"), None), limit(5_000));
+            record_response(&notices, NOW, &server(&format!("s{number}"), None), limit(5_000));
         }
         let (one, said) = (server("s0", None), limit(5_000));
         let said = if servers == 0 { Notice::default() } else { said };
-        let began = Instant::now();
+        let start = Instant::now();
         for round in 0..ROUNDS {
-            hear(&notices, NOW + round, &one, said);
+            record_response(&notices, NOW + round, &one, said);
         }
-        let hearing = began.elapsed();
-        let began = Instant::now();
+        let recording = start.elapsed();
+        let start = Instant::now();
         let free = (0..ROUNDS).filter(|round| why(&notices, NOW + round, &one, COUNTED).is_none());
         assert_eq!(free.count() as u64, ROUNDS);
         println!(
-            "{servers} servers: {hearing:?} to hear, {:?} to look, {ROUNDS} times",
-            began.elapsed()
+            "{servers} servers: {recording:?} to record, {:?} to look up, {ROUNDS} times",
+            start.elapsed()
         );
     }
 }
--- a/crates/drumusher/tests/unit/options.rs
+++ b/crates/drumusher/tests/unit/options.rs
@@ -15,12 +15,12 @@
 #[case("ask -a 127.0.0.1:1 -k key show", Command::Ask {
     statement: "show".into(), address: "127.0.0.1:1".into(), key: "key".into(),
 })]
-fn commands_are_read(#[case] text: &str, #[case] command: Command) {
+fn commands_are_parsed(#[case] text: &str, #[case] command: Command) {
     assert_eq!(parse(&words(text), |_| None), Ok(command));
 }
 
 #[test]
-fn variables_stand_in_for_options() {
+fn environment_variables_replace_missing_options() {
     let command = parse(&words("ask show"), |name| Some(format!("from {name}")));
     let expected = Command::Ask {
         statement: "show".into(),
@@ -36,9 +36,9 @@
 #[case("fly", "Usage")]
 #[case("ask show", "--address")]
 #[case("serve --colour", "colour")]
-fn faults_are_said(#[case] text: &str, #[case] says: &str) {
+fn errors_are_reported(#[case] text: &str, #[case] expected_text: &str) {
     let error = parse(&words(text), |_| None).expect_err("a fault");
-    assert!(error.contains(says), "{error}");
+    assert!(error.contains(expected_text), "{error}");
 }
 
 #[test]
--- a/crates/drumusher/tests/unit/replica.rs
+++ b/crates/drumusher/tests/unit/replica.rs
@@ -1,4 +1,4 @@
-//! How far another instance has followed the store.
+//! Tracking of which records another instance has.
 
 use drumusher::process::peers::Replica;
 use drumusher_log::position::Position;
@@ -8,9 +8,9 @@
     offsets.map(|offset| Position::new(1, offset))
 }
 
-/// A heartbeat that was sent before the tables arrived does not have them told again.
+/// A heartbeat that was sent before an update arrived doesn't cause a second update.
 #[test]
-fn what_is_under_way_is_not_told_again() {
+fn records_in_flight_are_not_sent_again() {
     let mut replica = Replica::new();
     replica.report(ends([0, 0, 295, 0]));
     assert_eq!(replica.expected(SECOND), ends([0, 0, 295, 0]));
@@ -19,9 +19,9 @@
     assert_eq!(replica.expected(SECOND + 250 * MILLISECOND), ends([3, 169, 295, 0]));
 }
 
-/// What was told and did not arrive is told again.
+/// Records that were sent and did not arrive are sent again.
 #[test]
-fn what_was_lost_is_told_again() {
+fn lost_records_are_sent_again() {
     let mut replica = Replica::new();
     replica.report(ends([1, 1, 1, 0]));
     replica.record_sent(SECOND, ends([2, 1, 1, 0]));
@@ -30,24 +30,24 @@
     assert_eq!(replica.expected(2 * SECOND), ends([1, 1, 1, 0]));
 }
 
-/// It may know more from elsewhere than it was told here.
+/// The other instance may have later records from another source.
 #[test]
-fn what_it_knows_from_elsewhere_counts() {
+fn records_from_other_sources_count() {
     let mut replica = Replica::new();
     replica.record_sent(SECOND, ends([2, 5, 1, 0]));
     replica.report(ends([7, 1, 1, 0]));
     assert_eq!(replica.expected(SECOND), ends([7, 5, 1, 0]));
 }
 
-/// Heartbeats of an instance that is told by another one do not make it one to be told here.
+/// Heartbeats of an instance don't subscribe it; it may get its updates from another one.
 #[test]
-fn only_one_that_asks_is_told() {
+fn an_instance_is_subscribed_only_on_request() {
     let mut replica = Replica::new();
     replica.report(ends([0, 0, 0, 0]));
     assert!(!replica.is_subscribed());
     replica.subscribe(true);
     assert!(replica.is_subscribed());
-    assert!(!replica.receives_large_updates(), "it fetches what is long");
+    assert!(!replica.receives_large_updates(), "it fetches large updates itself");
     replica.subscribe(false);
-    assert!(replica.receives_large_updates(), "an earlier version does not");
+    assert!(replica.receives_large_updates(), "an earlier version does not fetch");
 }
--- a/crates/drumusher/tests/unit/ring.rs
+++ b/crates/drumusher/tests/unit/ring.rs
@@ -1,10 +1,10 @@
-//! Rings are bounded, and set nothing aside.
+//! Bounded queues between threads and tasks.
 
 use drumusher::process::ring;
 
-/// A full ring gives the message back; one that was emptied takes it.
+/// `try_send` on a full ring returns the message, and succeeds again after a receive. `send` exceeds the bound.
 #[test]
-fn a_full_ring_gives_the_message_back() {
+fn a_full_ring_returns_the_message() {
     let (to_thread, thread) = ring::to_thread(2);
     let (to_task, task) = ring::to_task(2);
     for message in 0..2 {
@@ -13,16 +13,16 @@
     }
     assert_eq!(to_thread.try_send(2), Err(2));
     assert_eq!(to_task.try_send(2), Err(2));
-    assert_eq!(to_task.send(3), Ok(()), "what must pass exceeds the bound");
+    assert_eq!(to_task.send(3), Ok(()), "`send` exceeds the bound");
     assert_eq!((thread.recv(), task.try_recv()), (Ok(0), Ok(0)));
     assert_eq!(to_thread.try_send(4), Ok(()));
     let all: Vec<i32> = std::iter::from_fn(|| task.try_recv().ok()).collect();
     assert_eq!(all, [1, 3]);
 }
 
-/// A ring whose receiver is gone gives the message back.
+/// `try_send` without a receiver returns the message.
 #[test]
-fn a_ring_without_receiver_takes_nothing() {
+fn a_ring_without_receiver_returns_the_message() {
     let (to_thread, thread) = ring::to_thread(2);
     let (to_task, task) = ring::to_task(2);
     drop((thread, task));
--- a/crates/drumusher/tests/unit/routing.rs
+++ b/crates/drumusher/tests/unit/routing.rs
@@ -1,4 +1,4 @@
-//! Finding the route, the workspace and the service of a request.
+//! Selection of the route, the workspace and the service for a request.
 
 use drumusher::version::{Denial, Routing};
 use drumusher_platform::routing::{Configuration, Kind, Limits, Route, Service, Target, Workspace};
@@ -63,7 +63,7 @@
 #[case("/open/", None, Ok(None))]
 #[case("/open/", Some("k"), Ok(Some("w")))]
 #[case("/nowhere/", None, Err(Denial::NoRoute))]
-fn keys_open_workspaces(
+fn keys_identify_workspaces(
     #[case] path: &str,
     #[case] key: Option<&str>,
     #[case] expected: Result<Option<&str>, Denial>,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_split_follows_the_weights_and_the_same_request_goes_to_the_same_service() {
+fn a_split_follows_the_weights_and_is_stable_for_each_request() {
     let routing = routing();
     let service = |id: &str| {
         routing.find("h", "/split/", Some("k"), id).expect("a route").service.to_string()
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_class_is_a_route_at_the_rank_of_the_workspace() {
+fn the_class_has_the_route_and_the_workspace_priority() {
     let routing = routing();
     let found = routing.find("h", "/a/b/", Some("k"), "id").expect("a route");
     assert_eq!((&*found.class, found.engine), ("long/2", true));
--- a/crates/drumusher/tests/unit/settings.rs
+++ b/crates/drumusher/tests/unit/settings.rs
@@ -6,13 +6,13 @@
 const EXAMPLE: &str = include_str!("../../settings.example.toml");
 
 #[test]
-fn the_example_is_without_fault() {
+fn the_example_is_valid() {
     let settings = parse(EXAMPLE).expect("no fault");
     assert_eq!(settings.name, "suva-1");
     assert_eq!(settings.operators.len(), 1);
 }
 
-/// Each commented key of the example is a real one, and its value is the default.
+/// Each key that is commented out in the example exists, and its value is the default.
 #[test]
 fn the_example_shows_the_defaults() {
     let shown: String = EXAMPLE
@@ -37,7 +37,7 @@
     assert_eq!(shown, plain);
 }
 
-/// Each mechanism of the decisions can be switched off by its name; another name is a fault.
+/// Each scheduling mechanism can be switched off by its name; an unknown name is an error.
 #[test]
 fn mechanisms_are_switched_off_by_name() {
     for name in Switches::NAMES {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_fault_is_named_at_once() {
+fn all_errors_are_reported_together() {
     let text = r#"
         [instance]
         name = "a b"
@@ -93,6 +93,6 @@
 }
 
 #[test]
-fn what_is_not_toml_is_one_fault() {
+fn invalid_toml_is_one_error() {
     assert_eq!(parse("[instance").map_err(|faults| faults.len()), Err(1));
 }
--- a/crates/drumusher/tests/unit/relay.rs
+++ b/crates/drumusher/tests/unit/sse.rs
@@ -1,4 +1,4 @@
-//! Reading event streams: whole events only, each token once, nothing lost.
+//! Scanning of event streams (SSE): only complete events pass, each token once, and none is lost.
 
 use drumusher::request::sse::{Error, Scanner};
 use proptest::prelude::*;
@@ -26,41 +26,40 @@
 }
 
 proptest! {
-    /// However the stream is cut into pieces, the text is whole.
+    /// The result doesn't depend on the chunks in which the stream arrives.
     #[test]
-    fn pieces_do_not_matter(texts in texts(), size in 1usize..80) {
+    fn chunk_boundaries_do_not_matter(texts in texts(), size in 1usize..80) {
         let stream = events(0, &texts) + &end(texts.len());
         let mut scanner = Scanner::new();
-        let mut passed = Vec::new();
+        let mut output = Vec::new();
         for piece in stream.as_bytes().chunks(size) {
-            passed.extend_from_slice(&scanner.push(piece).expect("a proper stream").bytes);
+            output.extend_from_slice(&scanner.push(piece).expect("a valid stream").bytes);
         }
-        prop_assert_eq!(String::from_utf8_lossy(&passed), stream);
+        prop_assert_eq!(String::from_utf8_lossy(&output), stream);
         prop_assert_eq!(scanner.text(), texts.concat());
         prop_assert_eq!(scanner.delivered() as usize, texts.len());
         prop_assert!(scanner.finished() && scanner.done());
         prop_assert_eq!(scanner.finish_reason(), "stop");
     }
 
-    /// An attempt breaks off anywhere; the next resumes, perhaps a few tokens too early. Each
-    /// token is passed on once.
+    /// An attempt breaks off anywhere, and the next one resumes there or a few tokens before. Each token passes once.
     #[test]
-    fn an_overlap_is_removed(texts in texts(), cut in 0usize..2_000, overlap in 0u32..4) {
+    fn repeated_tokens_are_removed(texts in texts(), cut in 0usize..2_000, overlap in 0u32..4) {
         let first = events(0, &texts);
         let cut = cut.min(first.len());
         let mut scanner = Scanner::new();
-        let mut passed = scanner.push(&first.as_bytes()[..cut]).expect("proper").bytes.to_vec();
+        let mut output = scanner.push(&first.as_bytes()[..cut]).expect("proper").bytes.to_vec();
         scanner.restart();
         let from = scanner.delivered().saturating_sub(overlap);
         let second = events(from, &texts) + &end(texts.len());
-        passed.extend_from_slice(&scanner.push(second.as_bytes()).expect("proper").bytes);
+        output.extend_from_slice(&scanner.push(second.as_bytes()).expect("proper").bytes);
         let whole = events(0, &texts) + &end(texts.len());
-        prop_assert_eq!(String::from_utf8_lossy(&passed), whole);
+        prop_assert_eq!(String::from_utf8_lossy(&output), whole);
         prop_assert_eq!(scanner.text(), texts.concat());
     }
 
     #[test]
-    fn garbage_is_read_without_a_panic(pieces in proptest::collection::vec(
+    fn arbitrary_bytes_cause_no_panic(pieces in proptest::collection::vec(
         proptest::collection::vec(any::<u8>(), 0..64), 0..16,
     )) {
         let mut scanner = Scanner::new();
@@ -79,19 +78,19 @@
     assert_eq!(scanner.delivered(), 1);
 }
 
-/// The end marker without the finish marker is not passed on: the answer is not whole.
+/// Comments don't pass, and neither does `[DONE]` without a finish reason, since that response is incomplete.
 #[rstest]
 #[case::done_alone("data: [DONE]\n\n")]
 #[case::comment(": keep-alive\n\n")]
-fn what_is_no_part_of_the_answer_is_held_back(#[case] event: &str) {
+fn events_outside_the_response_are_withheld(#[case] event: &str) {
     let mut scanner = Scanner::new();
-    let piece = scanner.push(event.as_bytes()).expect("harmless");
+    let piece = scanner.push(event.as_bytes()).expect("valid");
     assert!(piece.bytes.is_empty());
     assert!(!scanner.finished());
 }
 
 #[test]
-fn an_endless_event_is_an_error() {
+fn an_event_without_end_is_an_error() {
     let mut scanner = Scanner::new();
     let endless = vec![b'x'; 1_100_000];
     assert_eq!(scanner.push(&endless), Err(Error::Malformed));
--- a/crates/drumusher/tests/unit/summary.rs
+++ b/crates/drumusher/tests/unit/summary.rs
@@ -1,4 +1,4 @@
-//! What log lines tell of all requests.
+//! The summary of all requests from log lines.
 
 use drumusher::{explain::Cause, summary::Summary};
 use proptest::prelude::*;
@@ -10,10 +10,10 @@
 }
 
 #[test]
-fn ends_are_counted_by_route_and_second() {
-    let told = r#","source":"m2","attempts":"2","expected_ms":"100","handed_ms":"300""#;
+fn results_are_counted_by_route_and_second() {
+    let attributes = r#","source":"m2","attempts":"2","expected_ms":"100","handed_ms":"300""#;
     let lines = [
-        line(1, "request ended: delivered", "letters", told),
+        line(1, "request ended: delivered", "letters", attributes),
         format!("   1.5 i-1 {}", line(1, "request ended: caller gone", "letters", "")),
         line(2, "request ended: no_server", "answers", ""),
         line(2, "request turned away: no route", "", ""),
@@ -25,7 +25,11 @@
     let letters = &summary.routes["letters"];
     assert_eq!((letters.total(), letters.retried, letters.cache_sourced), (2, 1, 1));
     assert_eq!(letters.ends[&Cause::CallerGone], 1);
-    assert_eq!(summary.routes["answers"].ends[&Cause::NotRun], 1, "an attempt is no end");
+    assert_eq!(
+        summary.routes["answers"].ends[&Cause::NotRun],
+        1,
+        "the end of an attempt does not count"
+    );
     let seconds: Vec<u32> = summary.seconds.values().map(|group| group.total()).collect();
     assert_eq!(seconds, [2, 2]);
     assert_eq!(summary.unread, 1);
@@ -35,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn any_text_has_a_summary(text in "(.|\n){0,300}") {
+    fn arbitrary_text_has_a_summary(text in "(.|\n){0,300}") {
         let _ = Summary::new(text.lines()).to_string();
     }
 }
--- a/crates/drumusher/tests/unit/uploads.rs
+++ b/crates/drumusher/tests/unit/uploads.rs
@@ -1,9 +1,9 @@
-//! Whose pieces are sent next.
+//! The order in which large updates are sent to peers, piece by piece.
 
 use drumusher::process::peers::Uploads;
 use drumusher_schedule::time::MILLISECOND;
 
-/// Turns of which the first four connections have one and two more wait.
+/// Four connections with an upload in progress, and two that wait.
 fn uploads() -> Uploads<&'static str> {
     let mut uploads = Uploads::new();
     for conn in 0..4 {
@@ -16,16 +16,16 @@
 }
 
 #[test]
-fn a_few_are_served_at_once() {
+fn four_uploads_run_at_a_time() {
     let mut uploads = uploads();
-    assert_eq!(uploads.request(1, 2, "second"), Some("second"), "one that is served goes on");
+    assert_eq!(uploads.request(1, 2, "second"), Some("second"), "an upload in progress continues");
     assert_eq!(uploads.next(1), None);
     uploads.finish(2);
     assert_eq!(uploads.next(1), Some((4, "waits")));
     assert_eq!(uploads.next(1), None);
 }
 
-/// A connection that asks again while it waits has one place, with its latest request.
+/// A connection that repeats its request while it waits keeps one place in the queue, with its latest request.
 #[test]
 fn the_latest_request_counts() {
     let mut uploads = uploads();
@@ -37,9 +37,9 @@
     assert_eq!(uploads.next(1), None);
 }
 
-/// One that went away, or says no more, holds nobody up.
+/// A connection that closes, or stops requesting pieces for 250 ms, blocks no other one.
 #[test]
-fn a_turn_is_not_held_for_ever() {
+fn an_idle_upload_is_abandoned() {
     let mut uploads = uploads();
     uploads.finish(4);
     assert_eq!(uploads.next(249 * MILLISECOND), None);
@@ -47,6 +47,6 @@
     assert_eq!(
         uploads.next(250 * MILLISECOND),
         None,
-        "the one that was gone does not wait any more"
+        "the closed connection does not wait any more"
     );
 }
