--- a/crates/drumusher-bench/src/fleet/relay.rs
+++ b/crates/drumusher-bench/src/fleet/relay.rs
@@ -26,7 +26,7 @@
     #[default]
     Open,
     /// Each piece so late.
-    Late(Duration),
+    Delayed(Duration),
     /// As over a link that carries so many bytes a second each way, which all connections share.
     Narrow(u64),
     /// Nothing reaches the target until another mode is set.
@@ -147,7 +147,7 @@
             let mode = *self.mode.lock().expect("no holder panics");
             let muted = match mode {
                 Mode::Open => false,
-                Mode::Late(late) => {
+                Mode::Delayed(late) => {
                     thread::sleep(late);
                     false
                 }
