--- a/crates/drumusher-bench/src/fleet/relay.rs
+++ b/crates/drumusher-bench/src/fleet/relay.rs
@@ -28,7 +28,7 @@
     /// Each piece so late.
     Delayed(Duration),
     /// As over a link that carries so many bytes a second each way, which all connections share.
-    Narrow(u64),
+    Throttled(u64),
     /// Nothing reaches the target until another mode is set.
     MuteTo,
     /// Nothing comes back from the target until another mode is set.
@@ -151,7 +151,7 @@
                     thread::sleep(late);
                     false
                 }
-                Mode::Narrow(rate) => {
+                Mode::Throttled(rate) => {
                     thread::sleep(self.queue(way, length, rate));
                     false
                 }
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -208,7 +208,7 @@
     fn degrade_relay(&mut self) {
         let place = self.any_relay();
         let late = Duration::from_millis(self.random.random_range(1..MAX_DELAY_MS));
-        let narrow = Mode::Narrow(self.random.random_range(LINK_BYTES_PER_SECOND));
+        let narrow = Mode::Throttled(self.random.random_range(LINK_BYTES_PER_SECOND));
         let modes = [Mode::Delayed(late), narrow, Mode::MuteTo, Mode::MuteBack, Mode::Mute];
         let mode = modes[self.random.random_range(0..modes.len())];
         self.relay_at(place).set(mode);
--- a/crates/drumusher/tests/routes/transfer.rs
+++ b/crates/drumusher/tests/routes/transfer.rs
@@ -66,7 +66,7 @@
     let cut_off = &deployment.instances[1];
     cut_off.relays.as_ref().expect("the instance has relays").store.cut(true);
     for instance in &deployment.instances {
-        set_peer_relay(instance, Mode::Narrow(LINK_BYTES_PER_SECOND));
+        set_peer_relay(instance, Mode::Throttled(LINK_BYTES_PER_SECOND));
     }
     deployment.store.put(
         "keyed.op",
@@ -85,7 +85,7 @@
     let readers = || deployment.instances.iter().filter(|instance| reads_store(instance)).count();
     wait_for("four instances read the store", || readers() == 4);
     for instance in &deployment.instances {
-        set_peer_relay(instance, Mode::Narrow(2 * LINK_BYTES_PER_SECOND));
+        set_peer_relay(instance, Mode::Throttled(2 * LINK_BYTES_PER_SECOND));
     }
     let bytes = || {
         let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
@@ -118,7 +118,7 @@
         .as_ref()
         .expect("the instance has relays")
         .store
-        .set(Mode::Narrow(LINK_BYTES_PER_SECOND));
+        .set(Mode::Throttled(LINK_BYTES_PER_SECOND));
     deployment.store.put(
         "keyed.op",
         "config",
