--- a/crates/drumusher-bench/src/fleet/relay.rs
+++ b/crates/drumusher-bench/src/fleet/relay.rs
@@ -30,11 +30,11 @@
     /// As over a link that carries so many bytes a second each way, which all connections share.
     Throttled(u64),
     /// Nothing reaches the target until another mode is set.
-    MuteTo,
+    StalledToTarget,
     /// Nothing comes back from the target until another mode is set.
-    MuteBack,
+    StalledFromTarget,
     /// Nothing passes either way until another mode is set.
-    Mute,
+    Stalled,
 }
 
 /// The way that bytes take through a relay.
@@ -155,9 +155,9 @@
                     thread::sleep(self.queue(way, length, rate));
                     false
                 }
-                Mode::Mute => true,
-                Mode::MuteTo => way == Way::To,
-                Mode::MuteBack => way == Way::Back,
+                Mode::Stalled => true,
+                Mode::StalledToTarget => way == Way::To,
+                Mode::StalledFromTarget => way == Way::Back,
             };
             if !self.open.lock().expect("no holder panics").contains_key(&number) {
                 return false;
--- a/crates/drumusher/tests/routes/notices.rs
+++ b/crates/drumusher/tests/routes/notices.rs
@@ -238,7 +238,7 @@
         Disruption::Killed => instance.signal("KILL"),
         Disruption::Rolled => instance.signal("TERM"),
         Disruption::Frozen => instance.signal("STOP"),
-        Disruption::CutOff => set_peer_relays(deployment, Mode::Mute),
+        Disruption::CutOff => set_peer_relays(deployment, Mode::Stalled),
     }
 }
 
--- a/crates/drumusher/tests/routes/quarantine.rs
+++ b/crates/drumusher/tests/routes/quarantine.rs
@@ -355,7 +355,7 @@
     };
     match isolation {
         Isolation::Frozen => isolated.signal("STOP"),
-        Isolation::CutOff => cut(Mode::Mute),
+        Isolation::CutOff => cut(Mode::Stalled),
     }
     for at in 0..2 {
         wait_for("the request is held back", || {
--- a/crates/drumusher/tests/routes/restore.rs
+++ b/crates/drumusher/tests/routes/restore.rs
@@ -192,9 +192,9 @@
         let relays = deployment.instances.iter().filter_map(|instance| instance.relays.as_ref());
         relays.for_each(|relays| relays.peers.set(mode));
     };
-    set(&deployment, Mode::Mute);
+    set(&deployment, Mode::Stalled);
     deployment.add_instance("i2");
-    set(&deployment, Mode::Mute);
+    set(&deployment, Mode::Stalled);
     wait_for("the instance read the restored store", || {
         logged(&deployment, 2, r#"{"version":"1"}"#)
     });
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -209,7 +209,13 @@
         let place = self.any_relay();
         let late = Duration::from_millis(self.random.random_range(1..MAX_DELAY_MS));
         let narrow = Mode::Throttled(self.random.random_range(LINK_BYTES_PER_SECOND));
-        let modes = [Mode::Delayed(late), narrow, Mode::MuteTo, Mode::MuteBack, Mode::Mute];
+        let modes = [
+            Mode::Delayed(late),
+            narrow,
+            Mode::StalledToTarget,
+            Mode::StalledFromTarget,
+            Mode::Stalled,
+        ];
         let mode = modes[self.random.random_range(0..modes.len())];
         self.relay_at(place).set(mode);
         self.record_peer_interruption(place);
