--- a/crates/drumusher-bench/src/capacity/processes.rs
+++ b/crates/drumusher-bench/src/capacity/processes.rs
@@ -71,7 +71,7 @@
     }
     fleet.wait_ready();
     fleet.configure();
-    fleet.wait_agreed();
+    fleet.wait_converged();
     Ok(fleet)
 }
 
--- a/crates/drumusher-bench/src/demo.rs
+++ b/crates/drumusher-bench/src/demo.rs
@@ -92,7 +92,7 @@
     }
     fleet.wait_ready();
     fleet.configure();
-    fleet.wait_agreed();
+    fleet.wait_converged();
     Ok(fleet)
 }
 
--- a/crates/drumusher-bench/src/failover.rs
+++ b/crates/drumusher-bench/src/failover.rs
@@ -24,7 +24,7 @@
     let mut fleet = demo::fleet(&["suva-hall"], 1)?;
     fleet.add_instance("suva-hall-2", "suva-hall")?;
     fleet.wait_ready();
-    fleet.wait_agreed();
+    fleet.wait_converged();
     println!("| what | milliseconds, sorted |\n|---|---|");
     let killed: Vec<u128> = (0..ROUNDS).map(|_| lose(&mut fleet, "KILL")).collect();
     println!("| first token of a request sent when its dispatcher was killed | {} |", list(killed));
--- a/crates/drumusher-bench/src/fleet/mod.rs
+++ b/crates/drumusher-bench/src/fleet/mod.rs
@@ -261,7 +261,7 @@
 
     /// Waits until every listed instance sees the same configuration offset and all backend
     /// servers' pools.
-    pub fn wait_agreed(&self) {
+    pub fn wait_converged(&self) {
         wait_for("the instances agree", || {
             let rows = self.ask(0, "show instances").map(|answer| answer.lines());
             let rows = rows.unwrap_or_default();
--- a/crates/drumusher/tests/fleet/configuration.rs
+++ b/crates/drumusher/tests/fleet/configuration.rs
@@ -39,7 +39,7 @@
         }));
         let count = |kind: &str| answers.iter().filter(|a| a["answer"] == kind).count();
         assert_eq!((count("accepted"), count("conflict")), (1, 5), "{answers:?}");
-        fleet.wait_agreed();
+        fleet.wait_converged();
         let waits: Vec<Option<u64>> =
             (0..3).map(|instance| class_wait(&fleet, instance, "summary")).collect();
         assert!(waits.windows(2).all(|pair| pair[0] == pair[1]), "{waits:?}");
@@ -114,7 +114,7 @@
     fleet.instances[1].kill();
     fleet.restart(1).expect("it starts again");
     fleet.wait_ready();
-    fleet.wait_agreed();
+    fleet.wait_converged();
     let rows = fleet.ask(1, "show classes").expect("an answer").lines();
     assert_eq!(rows.len(), 3 + 16, "{rows:?}");
 }
--- a/crates/drumusher/tests/fleet/support.rs
+++ b/crates/drumusher/tests/fleet/support.rs
@@ -37,7 +37,7 @@
     }
     fleet.wait_ready();
     fleet.configure();
-    fleet.wait_agreed();
+    fleet.wait_converged();
     fleet
 }
 
