--- a/crates/drumusher-bench/src/fleet/relay.rs
+++ b/crates/drumusher-bench/src/fleet/relay.rs
@@ -26,15 +26,15 @@
     #[default]
     Open,
     /// Each piece so late.
-    Late(Duration),
+    Delayed(Duration),
     /// As over a link that carries so many bytes a second each way, which all connections share.
-    Narrow(u64),
+    Throttled(u64),
     /// Nothing reaches the target until another mode is set.
-    MuteTo,
+    StalledToTarget,
     /// Nothing comes back from the target until another mode is set.
-    MuteBack,
+    StalledFromTarget,
     /// Nothing passes either way until another mode is set.
-    Mute,
+    Stalled,
 }
 
 /// The way that bytes take through a relay.
@@ -147,17 +147,17 @@
             let mode = *self.mode.lock().expect("no holder panics");
             let muted = match mode {
                 Mode::Open => false,
-                Mode::Late(late) => {
+                Mode::Delayed(late) => {
                     thread::sleep(late);
                     false
                 }
-                Mode::Narrow(rate) => {
+                Mode::Throttled(rate) => {
                     thread::sleep(self.queue(way, length, rate));
                     false
                 }
-                Mode::Mute => true,
-                Mode::MuteTo => way == Way::To,
-                Mode::MuteBack => way == Way::Back,
+                Mode::Stalled => true,
+                Mode::StalledToTarget => way == Way::To,
+                Mode::StalledFromTarget => way == Way::Back,
             };
             if !self.open.lock().expect("no holder panics").contains_key(&number) {
                 return false;
--- a/crates/drumusher/tests/routes/soak/fault.rs
+++ b/crates/drumusher/tests/routes/soak/fault.rs
@@ -208,8 +208,14 @@
     fn degrade_relay(&mut self) {
         let relay_index = self.any_relay();
         let late = Duration::from_millis(self.random.random_range(1..MAX_DELAY_MS));
-        let narrow = Mode::Narrow(self.random.random_range(LINK_BYTES_PER_SECOND));
-        let modes = [Mode::Late(late), narrow, Mode::MuteTo, Mode::MuteBack, Mode::Mute];
+        let narrow = Mode::Throttled(self.random.random_range(LINK_BYTES_PER_SECOND));
+        let modes = [
+            Mode::Delayed(late),
+            narrow,
+            Mode::StalledToTarget,
+            Mode::StalledFromTarget,
+            Mode::Stalled,
+        ];
         let mode = modes[self.random.random_range(0..modes.len())];
         self.relay_at(relay_index).set(mode);
         self.record_peer_interruption(relay_index);
