--- a/crates/drumusher/src/process/routes.rs
+++ b/crates/drumusher/src/process/routes.rs
@@ -26,8 +26,8 @@
     routed::{
         Worker,
         client_connections::ClientConnections,
+        error_response,
         handler::{self, Never},
-        refusal,
     },
     settings::Settings,
     upstream,
@@ -187,7 +187,7 @@
     }
     let author = match operator::author(&shared, request.headers()) {
         Ok(author) => author,
-        Err(error) => return refusal::response(&error, false),
+        Err(error) => return error_response::build(&error, false),
     };
     let mut payload = request.take_payload();
     let mut statement = Vec::new();
@@ -195,7 +195,7 @@
         statement.extend_from_slice(&piece);
         if statement.len() > LONGEST_STATEMENT {
             let error = Error::new(Kind::TooLarge, "the statement is too long");
-            return refusal::response(&error, false);
+            return error_response::build(&error, false);
         }
     }
     let text = String::from_utf8_lossy(&statement).into_owned();
--- a/crates/drumusher/src/routed/refusal.rs
+++ b/crates/drumusher/src/routed/error_response.rs
@@ -12,7 +12,7 @@
 
 /// Builds the response for an error. If `close` is set, the connection is closed after it, so that the client opens
 /// another one.
-pub fn response(error: &Error, close: bool) -> Response {
+pub fn build(error: &Error, close: bool) -> Response {
     let status = StatusCode::from_u16(error.kind.status()).expect("the table has valid codes");
     let mut builder = Response::build(status);
     if let Some(milliseconds) = error.retry_after_ms {
--- a/crates/drumusher/src/routed/exchange/end.rs
+++ b/crates/drumusher/src/routed/exchange/end.rs
@@ -8,7 +8,7 @@
 use crate::{
     error::{Error, Kind, Ran},
     process::clock,
-    routed::{handler, refusal},
+    routed::{error_response, handler},
     upstream::{self, response},
     version::Backend,
 };
@@ -109,7 +109,7 @@
     /// Responds with an error of the instance itself, which ends the request.
     pub(super) fn respond_with_error(&mut self, error: Error) -> Response {
         self.log_end("", error.kind.code(), error.kind.status());
-        refusal::response(&error, self.worker.shared.stopping())
+        error_response::build(&error, self.worker.shared.stopping())
     }
 
     /// Milliseconds since the request arrived.
--- a/crates/drumusher/src/routed/handler.rs
+++ b/crates/drumusher/src/routed/handler.rs
@@ -11,9 +11,8 @@
 };
 
 use super::{
-    Handle,
+    Handle, error_response,
     exchange::{Exchange, Request},
-    refusal,
 };
 use crate::{
     error::{Error, Kind},
@@ -87,7 +86,7 @@
                 "request turned away: {}", error.message
             );
             worker.shared.telemetry.count("drumusher.turned.away", &[("kind", error.kind.code())]);
-            Ok(refusal::response(&error, worker.shared.stopping()))
+            Ok(error_response::build(&error, worker.shared.stopping()))
         }
     }
 }
