--- a/crates/drumusher/src/routed/exchange/crash.rs
+++ b/crates/drumusher/src/routed/exchange/crash.rs
@@ -45,7 +45,10 @@
         rt::spawn(async move {
             match upstream::probe(address, PROBE_TIMEOUT).await {
                 Probe::Refused => {
-                    log::info!(server = &*crash.server, route = &*crash.route; "a backend server crashed while it ran a request");
+                    log::info!(
+                        server = &*crash.server, route = &*crash.route;
+                        "a backend server crashed while it ran a request"
+                    );
                     worker.shared.broker.send(Input::Crash(Box::new(crash)));
                 }
                 // The probe's connection is good for other requests.
--- a/crates/drumusher/src/routed/exchange/failure.rs
+++ b/crates/drumusher/src/routed/exchange/failure.rs
@@ -10,7 +10,7 @@
 pub enum Failure {
     /// No connection was established; nothing was sent.
     NotConnected,
-    /// The backend server announced meanwhile that it accepts no requests; nothing was sent.
+    /// A notice of the backend server (leaving, resting or limited) forbids sending to it now; nothing was sent.
     Withheld,
     /// The backend server reports that it did not run the request; holds the status code.
     NotRun(u16),
