--- a/crates/drumusher-bench/src/stand_in/engine.rs
+++ b/crates/drumusher-bench/src/stand_in/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: continuous batching, steps that grow with the batch, priorities, cancel by
-//! closing, resume, and a load report that lags.
+//! Stand-in for a model engine: continuous batching with a step duration that grows with the batch, request
+//! priorities, cancellation when the client disconnects, resumed generation, and a delayed load report.
 
 use std::{
     cell::RefCell,
@@ -18,45 +18,45 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use super::{Routes, switch, switched, unavailable};
+use super::{Routes, apply_switches, merge_switches, unavailable};
 
-/// Prompt tokens that one step processes for a sequence.
+/// Prompt tokens that one step processes per sequence.
 const PREFILL_PER_STEP: u32 = 512;
-/// How often the load is noted for the lagging report.
-const NOTE_EVERY: Duration = Duration::from_millis(20);
-/// Output tokens when the request names no number.
+/// Interval at which the load is sampled for the delayed report.
+const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Output tokens of a request without `max_tokens`.
 const DEFAULT_TOKENS: u32 = 16;
 
-/// How the engine is to behave.
+/// Behaviour of the engine and the faults it injects.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Switches {
     /// Duration of a step with a batch of one, in milliseconds.
     pub step_ms: f64,
-    /// Part by which a step is longer with a full batch.
+    /// Fraction by which a step is longer with a full batch.
     pub batch_cost: f64,
-    /// Most sequences in a batch.
+    /// Maximum number of sequences in a batch.
     pub batch: usize,
-    /// Factor on the duration of a step.
+    /// Factor by which the duration of a step is multiplied.
     pub slow: f64,
-    /// No step is made.
+    /// Runs no steps.
     pub hang: bool,
-    /// Takes nothing more.
+    /// Refuses completions and load queries with status 503.
     pub full: bool,
-    /// Says that it is leaving; it still serves what is sent to it.
+    /// Reports the state `leaving`; it still serves requests.
     pub leaving: bool,
-    /// Answers with a failure.
+    /// Answers completions with status 500.
     pub fail: bool,
-    /// Breaks each stream off after so many tokens; 0 for never.
+    /// Aborts each stream after this number of tokens; 0 for never.
     pub truncate_at: u32,
-    /// Ends each stream properly but without its finish marker after so many tokens; 0 for never.
+    /// Ends each stream cleanly but without its finish marker after this number of tokens; 0 for never.
     pub end_at: u32,
-    /// Answers with another request's text and identity.
+    /// Answers with the text and the request ID of another request.
     pub cross: bool,
     /// Sends each event twice.
     pub double: bool,
     /// Age of the load report in milliseconds.
     pub load_lag_ms: u64,
-    /// Ends the process.
+    /// Exits the process.
     pub crash: bool,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// What the engine did.
+/// Counters of the engine, as `/stats` reports them.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Stats {
     requests: u64,
@@ -116,25 +116,25 @@
 #[derive(Clone, Default)]
 struct State(Rc<RefCell<Engine>>);
 
-/// The routes of an engine.
+/// Returns the HTTP routes of the engine and spawns its background tasks.
 pub fn routes() -> Routes {
     let state = State::default();
-    rt::spawn(steps(state.clone()));
-    rt::spawn(notes(state.clone()));
+    rt::spawn(run_steps(state.clone()));
+    rt::spawn(sample_load(state.clone()));
     Box::new(move |config: &mut web::ServiceConfig| {
         config
             .state(state)
-            .route("/v1/completions", web::post().to(plain))
-            .route("/v1/chat/completions", web::post().to(chat))
+            .route("/v1/completions", web::post().to(text_completion))
+            .route("/v1/chat/completions", web::post().to(chat_completion))
             .route("/load", web::get().to(load))
             .route("/stats", web::get().to(stats))
-            .route("/switch", web::post().to(set));
+            .route("/switch", web::post().to(update_switches));
     })
 }
 
-async fn set(state: types::State<State>, body: Bytes) -> HttpResponse {
-    let switches = switch(&state.0.borrow().switches, &body);
-    switched(switches, |switches: Switches| {
+async fn update_switches(state: types::State<State>, body: Bytes) -> HttpResponse {
+    let switches = merge_switches(&state.0.borrow().switches, &body);
+    apply_switches(switches, |switches: Switches| {
         if switches.crash {
             std::process::exit(1);
         }
@@ -156,14 +156,14 @@
         return unavailable();
     }
     let lag = Duration::from_millis(engine.switches.load_lag_ms);
-    let old_enough = engine.reports.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-    let report = old_enough.or(engine.reports.front()).map(|(_, report)| report.clone());
-    let mut report = report.unwrap_or_else(|| note(&engine));
+    let delayed = engine.reports.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+    let report = delayed.or(engine.reports.front()).map(|(_, report)| report.clone());
+    let mut report = report.unwrap_or_else(|| load_report(&engine));
     report["state"] = json!(if engine.switches.leaving { "leaving" } else { "live" });
     HttpResponse::Ok().json(&report)
 }
 
-fn note(engine: &Engine) -> Value {
+fn load_report(engine: &Engine) -> Value {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     json!({
         "as_of_ms": since.as_millis() as u64,
@@ -175,31 +175,40 @@
     })
 }
 
-async fn notes(state: State) {
+async fn sample_load(state: State) {
     loop {
         {
             let mut engine = state.0.borrow_mut();
-            let report = note(&engine);
+            let report = load_report(&engine);
             engine.reports.push_back((Instant::now(), report));
             if engine.reports.len() > 512 {
                 engine.reports.pop_front();
             }
         }
-        sleep(Millis(NOTE_EVERY.as_millis() as u32)).await;
+        sleep(Millis(LOAD_SAMPLE_INTERVAL.as_millis() as u32)).await;
     }
 }
 
-async fn plain(request: HttpRequest, state: types::State<State>, body: Bytes) -> HttpResponse {
-    complete(false, &request, &state, &body)
+async fn text_completion(
+    request: HttpRequest,
+    state: types::State<State>,
+    body: Bytes,
+) -> HttpResponse {
+    enqueue(false, &request, &state, &body)
 }
 
-async fn chat(request: HttpRequest, state: types::State<State>, body: Bytes) -> HttpResponse {
-    complete(true, &request, &state, &body)
+async fn chat_completion(
+    request: HttpRequest,
+    state: types::State<State>,
+    body: Bytes,
+) -> HttpResponse {
+    enqueue(true, &request, &state, &body)
 }
 
-fn complete(chat: bool, request: &HttpRequest, state: &State, body: &[u8]) -> HttpResponse {
+fn enqueue(chat: bool, request: &HttpRequest, state: &State, body: &[u8]) -> HttpResponse {
     let Ok(body) = serde_json::from_slice::<Value>(body) else {
-        return HttpResponse::BadRequest().json(&json!({"error": {"message": "not JSON"}}));
+        return HttpResponse::BadRequest()
+            .json(&json!({"error": {"message": "the body is not valid JSON"}}));
     };
     let mut engine = state.0.borrow_mut();
     if engine.switches.full {
@@ -257,25 +266,25 @@
     contents.collect::<Vec<&str>>().join(" ")
 }
 
-/// The text of token `index` of the request whose prompt begins with `tag`.
+/// Text of token `index` of a completion whose prompt begins with `tag`.
 pub fn token(tag: &str, index: u32) -> String {
     format!("{tag}.{index} ")
 }
 
-/// The whole answer of `total` tokens to a prompt that begins with `tag`.
+/// Complete text of `total` tokens that the engine generates for a prompt that begins with `tag`.
 pub fn answer(tag: &str, total: u32) -> String {
     (0..total).map(|index| token(tag, index)).collect()
 }
 
-/// Makes steps for ever. The runtime's own timers are too coarse for steps of a few milliseconds,
-/// so that a thread keeps the time.
-async fn steps(state: State) {
-    let (ask, asked) = async_channel::bounded::<Instant>(1);
-    let (answer, answered) = async_channel::bounded(1);
+/// Runs steps forever. The timers of the async runtime are too coarse for steps of a few milliseconds, so a
+/// dedicated thread sleeps until each step is due.
+async fn run_steps(state: State) {
+    let (timer_sender, timer_receiver) = async_channel::bounded::<Instant>(1);
+    let (elapsed_sender, elapsed_receiver) = async_channel::bounded(1);
     std::thread::spawn(move || {
-        while let Ok(due) = asked.recv_blocking() {
+        while let Ok(due) = timer_receiver.recv_blocking() {
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            if answer.send_blocking(()).is_err() {
+            if elapsed_sender.send_blocking(()).is_err() {
                 return;
             }
         }
@@ -283,12 +292,12 @@
     let mut due = Instant::now();
     loop {
         due = (due + step(&state)).max(Instant::now());
-        let _ = ask.send(due).await;
-        let _ = answered.recv().await;
+        let _ = timer_sender.send(due).await;
+        let _ = elapsed_receiver.recv().await;
     }
 }
 
-/// Makes one step for the whole batch and returns how long it lasts.
+/// Runs one step for the whole batch and returns its duration.
 fn step(state: &State) -> Duration {
     let mut engine = state.0.borrow_mut();
     let engine = &mut *engine;
@@ -308,14 +317,14 @@
         return Duration::from_millis(1);
     }
     engine.stats.steps += 1;
-    let filled = engine.batch.len() as f64 / switches.batch as f64;
+    let occupancy = engine.batch.len() as f64 / switches.batch as f64;
     let stats = &mut engine.stats;
     engine.batch.retain_mut(|sequence| advance(sequence, &switches, stats));
-    let lasts = switches.step_ms * (1.0 + switches.batch_cost * filled) * switches.slow;
-    Duration::from_secs_f64(lasts / 1_000.0)
+    let duration_ms = switches.step_ms * (1.0 + switches.batch_cost * occupancy) * switches.slow;
+    Duration::from_secs_f64(duration_ms / 1_000.0)
 }
 
-/// Advances one sequence by a step. Returns whether it goes on.
+/// Advances one sequence by a step. Returns whether it continues.
 fn advance(sequence: &mut Sequence, switches: &Switches, stats: &mut Stats) -> bool {
     if sequence.prefill > 0 {
         sequence.prefill = sequence.prefill.saturating_sub(PREFILL_PER_STEP);
@@ -333,14 +342,14 @@
         return false;
     }
     if switches.truncate_at > 0 && sequence.produced >= switches.truncate_at {
-        let broken = std::io::Error::other("truncated");
-        let _ = sequence.sender.send(Err(broken));
+        let aborted = std::io::Error::other("stream aborted by truncate_at");
+        let _ = sequence.sender.send(Err(aborted));
         return false;
     }
     let text = token(&sequence.tag, sequence.produced);
     let event = event(sequence, &text, None);
-    let copies = if switches.double { 2 } else { 1 };
-    let _ = sequence.sender.send(Ok(Bytes::from(event.repeat(copies))));
+    let repeats = if switches.double { 2 } else { 1 };
+    let _ = sequence.sender.send(Ok(Bytes::from(event.repeat(repeats))));
     sequence.produced += 1;
     stats.tokens += 1;
     true
--- a/crates/drumusher-bench/src/stand_in/list.rs
+++ b/crates/drumusher-bench/src/stand_in/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances and backend servers, with lag and outages.
+//! Stand-in for the platform's member list of instances and backend servers, with stale answers and outages.
 
 use std::{
     cell::RefCell,
@@ -14,30 +14,30 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use super::{Routes, switch, switched, unavailable};
+use super::{Routes, apply_switches, merge_switches, unavailable};
 
-/// How the list is to behave.
+/// Behaviour of the member list and the faults it injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Switches {
-    /// Answers nothing but failures.
+    /// Answers queries with status 503.
     pub down: bool,
-    /// Age of what it tells, in milliseconds.
+    /// Staleness of its answers, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// What the list was, and since when.
-type Lists = VecDeque<(Instant, Vec<Value>)>;
+/// Versions of the list, each with the time at which it was set, oldest first.
+type Versions = VecDeque<(Instant, Vec<Value>)>;
 
 #[derive(Clone, Default)]
 struct State {
     switches: Rc<RefCell<Switches>>,
-    lists: Rc<RefCell<Lists>>,
+    versions: Rc<RefCell<Versions>>,
 }
 
-/// Lists remembered for the lag.
-const LISTS: usize = 64;
+/// Maximum number of versions kept for stale answers.
+const MAX_VERSIONS: usize = 64;
 
-/// The routes of the list.
+/// Returns the HTTP routes of the member list.
 pub fn routes() -> Routes {
     let state = State::default();
     Box::new(move |config: &mut web::ServiceConfig| {
@@ -45,25 +45,25 @@
             .state(state)
             .route("/members", web::get().to(members))
             .route("/members", web::put().to(replace))
-            .route("/switch", web::post().to(set));
+            .route("/switch", web::post().to(update_switches));
     })
 }
 
-async fn set(state: types::State<State>, body: Bytes) -> HttpResponse {
-    let switches = switch(&*state.switches.borrow(), &body);
-    switched(switches, |switches| *state.switches.borrow_mut() = switches)
+async fn update_switches(state: types::State<State>, body: Bytes) -> HttpResponse {
+    let switches = merge_switches(&*state.switches.borrow(), &body);
+    apply_switches(switches, |switches| *state.switches.borrow_mut() = switches)
 }
 
-/// Replaces the whole list by a JSON array of members.
+/// Replaces the whole list with a JSON array of members.
 async fn replace(state: types::State<State>, body: Bytes) -> HttpResponse {
     let Ok(members) = serde_json::from_slice::<Vec<Value>>(&body) else {
-        return HttpResponse::BadRequest().body("takes an array\n");
+        return HttpResponse::BadRequest().body("the body must be a JSON array of members\n");
     };
-    let mut lists = state.lists.borrow_mut();
-    if lists.len() == LISTS {
-        lists.pop_front();
+    let mut versions = state.versions.borrow_mut();
+    if versions.len() == MAX_VERSIONS {
+        versions.pop_front();
     }
-    lists.push_back((Instant::now(), members));
+    versions.push_back((Instant::now(), members));
     HttpResponse::Ok().body("replaced\n")
 }
 
@@ -72,15 +72,15 @@
     if switches.down {
         return unavailable();
     }
-    let lists = state.lists.borrow();
+    let versions = state.versions.borrow();
     let lag = Duration::from_millis(switches.lag_ms);
-    let old_enough = lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-    let members = old_enough.map(|(_, members)| members.clone()).unwrap_or_default();
+    let current = versions.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+    let members = current.map(|(_, members)| members.clone()).unwrap_or_default();
     let zone = request.query_string().strip_prefix("availability_zone=").map(str::to_string);
-    let wanted = |member: &Value| {
+    let in_zone = |member: &Value| {
         zone.as_deref().is_none_or(|zone| member["availability_zone"].as_str() == Some(zone))
     };
-    let members: Vec<Value> = members.into_iter().filter(wanted).collect();
+    let members: Vec<Value> = members.into_iter().filter(in_zone).collect();
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let as_of_ms = since.as_millis() as u64;
     HttpResponse::Ok().json(&json!({"as_of_ms": as_of_ms, "members": members}))
--- a/crates/drumusher-bench/src/stand_in/log.rs
+++ b/crates/drumusher-bench/src/stand_in/log.rs
@@ -1,4 +1,5 @@
-//! The platform's log: streams with offsets and retention; outages, slowness and lost answers.
+//! Stand-in for the platform's log service: streams with offsets and retention, and injected outages, delays and
+//! lost responses.
 
 use std::{
     cell::RefCell,
@@ -17,20 +18,20 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::{Routes, switch, switched, unavailable};
+use super::{Routes, apply_switches, merge_switches, unavailable};
 
-/// How the log is to behave.
+/// Behaviour of the log service and the faults it injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Switches {
-    /// Answers nothing but failures.
+    /// Answers appends and reads with status 503.
     pub down: bool,
-    /// Appends fail, reads go on.
+    /// Refuses appends; reads still work.
     pub read_only: bool,
-    /// Time that each answer takes longer, in milliseconds.
+    /// Delay before each append or read is processed, in milliseconds.
     pub slow_ms: u64,
-    /// Appends take effect, and one in so many answers is lost; 0 for none.
+    /// Replaces the response of every n-th append by status 503 although the append took effect; 0 for never.
     pub lose_every: u64,
-    /// Records kept in a stream; 0 for all.
+    /// Number of records retained per stream; 0 for all.
     pub keep: usize,
 }
 
@@ -43,7 +44,8 @@
 struct Stream {
     first: u64,
     records: Vec<Record>,
-    waiting: Vec<mpsc::Sender<()>>,
+    /// Notified of the next append.
+    readers: Vec<mpsc::Sender<()>>,
 }
 
 #[derive(Default)]
@@ -68,7 +70,7 @@
     wait_ms: u64,
 }
 
-/// The routes of the log.
+/// Returns the HTTP routes of the log service.
 pub fn routes() -> Routes {
     let state = State::default();
     Box::new(move |config: &mut web::ServiceConfig| {
@@ -78,13 +80,13 @@
             .route("/streams/{name}/records", web::post().to(append))
             .route("/streams/{name}/records", web::get().to(read))
             .route("/stats", web::get().to(stats))
-            .route("/switch", web::post().to(set));
+            .route("/switch", web::post().to(update_switches));
     })
 }
 
-async fn set(state: types::State<State>, body: Bytes) -> HttpResponse {
-    let switches = switch(&state.0.borrow().switches, &body);
-    switched(switches, |switches| state.0.borrow_mut().switches = switches)
+async fn update_switches(state: types::State<State>, body: Bytes) -> HttpResponse {
+    let switches = merge_switches(&state.0.borrow().switches, &body);
+    apply_switches(switches, |switches| state.0.borrow_mut().switches = switches)
 }
 
 async fn stats(state: types::State<State>) -> HttpResponse {
@@ -100,10 +102,10 @@
     name: types::Path<String>,
     body: types::Json<Append>,
 ) -> HttpResponse {
-    slow(&state).await;
+    delay(&state).await;
     let valid = body.records.iter().all(|record| STANDARD.decode(record).is_ok());
     if !valid {
-        return HttpResponse::BadRequest().body("records are in base64\n");
+        return HttpResponse::BadRequest().body("records must be encoded in base64\n");
     }
     let mut log = state.0.borrow_mut();
     let switches = log.switches.clone();
@@ -119,12 +121,12 @@
     let records = body.into_inner().records.into_iter().map(|body| Record { time_ms, body });
     stream.records.extend(records);
     if switches.keep > 0 && stream.records.len() > switches.keep {
-        let gone = stream.records.len() - switches.keep;
-        stream.records.drain(..gone);
-        stream.first += gone as u64;
+        let expired = stream.records.len() - switches.keep;
+        stream.records.drain(..expired);
+        stream.first += expired as u64;
     }
-    for waiting in stream.waiting.drain(..) {
-        let _ = waiting.send(());
+    for reader in stream.readers.drain(..) {
+        let _ = reader.send(());
     }
     if lost {
         return unavailable();
@@ -138,31 +140,32 @@
     name: types::Path<String>,
     query: types::Query<Read>,
 ) -> HttpResponse {
-    slow(&state).await;
-    let until = Instant::now() + Duration::from_millis(query.wait_ms);
+    delay(&state).await;
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         if state.0.borrow().switches.down {
             return unavailable();
         }
-        let left = until.saturating_duration_since(Instant::now());
-        let (answer, empty, news) = page(&state, &name, &query);
+        let left = deadline.saturating_duration_since(Instant::now());
+        let (response, empty, appended) = page(&state, &name, &query);
         if !empty || left.is_zero() {
-            return answer;
+            return response;
         }
-        let _ = ntex::time::timeout(Millis(left.as_millis().max(1) as u32), news.recv()).await;
+        let _ = ntex::time::timeout(Millis(left.as_millis().max(1) as u32), appended.recv()).await;
     }
 }
 
-/// A page of records, whether it is empty, and news of the next append.
+/// Returns the response with a page of records, whether the page is empty, and a receiver that is notified of the
+/// next append.
 fn page(state: &State, name: &str, query: &Read) -> (HttpResponse, bool, mpsc::Receiver<()>) {
     let mut log = state.0.borrow_mut();
     let stream = log.streams.entry(name.to_string()).or_default();
-    let (sender, news) = mpsc::channel();
-    stream.waiting.retain(|waiting| !waiting.is_closed());
-    stream.waiting.push(sender);
+    let (sender, appended) = mpsc::channel();
+    stream.readers.retain(|reader| !reader.is_closed());
+    stream.readers.push(sender);
     if query.from < stream.first {
         let gone = HttpResponse::Gone().json(&json!({"first": stream.first}));
-        return (gone, false, news);
+        return (gone, false, appended);
     }
     let skip = (query.from - stream.first) as usize;
     let numbered = stream.records.iter().enumerate().skip(skip).take(query.max);
@@ -175,12 +178,12 @@
     let next = stream.first + stream.records.len() as u64;
     let empty = records.is_empty();
     let body = json!({"first": stream.first, "next": next, "records": records});
-    (HttpResponse::Ok().json(&body), empty, news)
+    (HttpResponse::Ok().json(&body), empty, appended)
 }
 
-async fn slow(state: &State) {
-    let slow = state.0.borrow().switches.slow_ms;
-    if slow > 0 {
-        sleep(Millis(slow as u32)).await;
+async fn delay(state: &State) {
+    let delay_ms = state.0.borrow().switches.slow_ms;
+    if delay_ms > 0 {
+        sleep(Millis(delay_ms as u32)).await;
     }
 }
--- a/crates/drumusher-bench/src/stand_in/mod.rs
+++ b/crates/drumusher-bench/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the outside systems. Each is one short file with just the switches that a test
-//! or an experiment uses; `POST /switch` with a JSON object sets some of them.
+//! Stand-ins for the external systems. Each has only the switches that a test or an experiment uses;
+//! `POST /switch` with a JSON object sets the switches it contains.
 
 pub mod engine;
 pub mod list;
@@ -19,7 +19,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::{Map, Value};
 
-/// Which outside system to stand in for.
+/// An external system that has a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A model engine.
@@ -28,24 +28,24 @@
     Service,
     /// The platform's log.
     Log,
-    /// The platform's list of instances.
+    /// The platform's list of instances and backend servers.
     List,
 }
 
-/// A listener on a free port of the loopback.
+/// Binds a listener to a free port of the loopback interface.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of binding or serving.
 pub fn free_port() -> io::Result<TcpListener> {
     TcpListener::bind("127.0.0.1:0")
 }
 
-/// Serves a stand-in on a thread of its own until the process ends. Returns its address.
+/// Starts a stand-in on a new thread, which serves until the process exits, and returns its address.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of binding or serving.
 pub fn start(kind: Kind) -> io::Result<SocketAddr> {
     let listener = free_port()?;
     let address = listener.local_addr()?;
@@ -53,14 +53,14 @@
     Ok(address)
 }
 
-/// Serves a stand-in on this thread.
+/// Serves a stand-in on the current thread. Blocks.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of binding or serving.
 pub fn serve(kind: Kind, listener: TcpListener) -> io::Result<()> {
-    let runner = rt::System::build().name("stand-in").build(rt::DefaultRuntime);
-    runner.block_on(async move {
+    let runtime = rt::System::build().name("stand-in").build(rt::DefaultRuntime);
+    runtime.block_on(async move {
         let server = HttpServer::new(async move || {
             let app = App::new();
             match kind {
@@ -74,23 +74,26 @@
     })
 }
 
-/// Puts the members of `change` over those of `switches`.
-fn switch<T: Serialize + DeserializeOwned>(switches: &T, change: &[u8]) -> Result<T, String> {
-    let mut whole = match serde_json::to_value(switches) {
-        Ok(Value::Object(whole)) => whole,
-        _ => return Err("switches are an object".into()),
+/// Overrides the switches that the JSON object `change` contains. Rejects unknown names.
+fn merge_switches<T: Serialize + DeserializeOwned>(
+    switches: &T,
+    change: &[u8],
+) -> Result<T, String> {
+    let mut merged = match serde_json::to_value(switches) {
+        Ok(Value::Object(merged)) => merged,
+        _ => return Err("switches do not serialize to an object".into()),
     };
     let change: Map<String, Value> = serde_json::from_slice(change).map_err(|e| e.to_string())?;
     for (name, value) in change {
-        if whole.insert(name.clone(), value).is_none() {
-            return Err(format!("no switch {name}"));
+        if merged.insert(name.clone(), value).is_none() {
+            return Err(format!("unknown switch {name:?}"));
         }
     }
-    serde_json::from_value(Value::Object(whole)).map_err(|e| e.to_string())
+    serde_json::from_value(Value::Object(merged)).map_err(|e| e.to_string())
 }
 
-/// The answer to a change of switches.
-fn switched<T>(result: Result<T, String>, set: impl FnOnce(T)) -> HttpResponse {
+/// Applies merged switches with `set` and returns the response.
+fn apply_switches<T>(result: Result<T, String>, set: impl FnOnce(T)) -> HttpResponse {
     match result {
         Ok(switches) => {
             set(switches);
@@ -100,12 +103,12 @@
     }
 }
 
-/// A failure that the stand-in was switched to.
+/// Response of a stand-in that is switched to be unavailable.
 fn unavailable() -> HttpResponse {
     let mut response = HttpResponse::build(ntex::http::StatusCode::SERVICE_UNAVAILABLE);
     response.set_header("Retry-After", "1");
     response.body("unavailable\n")
 }
 
-/// The routes of one stand-in.
+/// The HTTP routes of a stand-in.
 type Routes = Box<dyn FnOnce(&mut web::ServiceConfig)>;
--- a/crates/drumusher-bench/src/stand_in/service.rs
+++ b/crates/drumusher-bench/src/stand_in/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that records every call it ran.
+//! Stand-in for a plain service that records every call it executed.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -10,27 +10,27 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::{Routes, switch, switched};
+use super::{Routes, apply_switches, merge_switches};
 
-/// How the service is to behave.
+/// Behaviour of the service and the faults it injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Switches {
-    /// How long a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub delay_ms: u64,
-    /// Runs each call and then closes without an answer.
+    /// Executes each call and then closes the connection before the response is complete.
     pub lose_answers: bool,
 }
 
-/// One call that ran.
+/// A call that was executed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Call {
-    /// The request's identity.
+    /// Request ID; empty if the call had none.
     pub request: String,
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: Option<String>,
-    /// The path.
+    /// Path.
     pub path: String,
-    /// The body.
+    /// Body.
     pub body: String,
 }
 
@@ -40,21 +40,21 @@
     calls: Rc<RefCell<Vec<Call>>>,
 }
 
-/// The routes of a plain service.
+/// Returns the HTTP routes of a plain service.
 pub fn routes() -> Routes {
     let state = State::default();
     Box::new(move |config: &mut web::ServiceConfig| {
         config
             .state(state)
             .route("/calls", web::get().to(calls))
-            .route("/switch", web::post().to(set))
+            .route("/switch", web::post().to(update_switches))
             .route("/{path}*", web::route().to(run));
     })
 }
 
-async fn set(state: types::State<State>, body: Bytes) -> HttpResponse {
-    let switches = switch(&*state.switches.borrow(), &body);
-    switched(switches, |switches| *state.switches.borrow_mut() = switches)
+async fn update_switches(state: types::State<State>, body: Bytes) -> HttpResponse {
+    let switches = merge_switches(&*state.switches.borrow(), &body);
+    apply_switches(switches, |switches| *state.switches.borrow_mut() = switches)
 }
 
 async fn calls(state: types::State<State>) -> HttpResponse {
@@ -82,17 +82,17 @@
         sleep(Millis(switches.delay_ms as u32)).await;
     }
     if switches.lose_answers {
-        return broken();
+        return aborted();
     }
     let mut response = HttpResponse::Ok();
     response.set_header("X-Request-Id", call.request.as_str());
     response.json(&json!({"ran": number, "path": call.path, "body": call.body}))
 }
 
-/// An answer that breaks off before its end.
-fn broken() -> HttpResponse {
+/// A response whose body is aborted before its end.
+fn aborted() -> HttpResponse {
     let (sender, receiver) = ntex::channel::mpsc::channel::<Result<Bytes, std::io::Error>>();
     let _ = sender.send(Ok(Bytes::from_static(b"{")));
-    let _ = sender.send(Err(std::io::Error::other("lost")));
+    let _ = sender.send(Err(std::io::Error::other("response aborted by lose_answers")));
     HttpResponse::Ok().streaming(receiver)
 }
