--- a/crates/drumusher-bench/src/capacity/processes.rs
+++ b/crates/drumusher-bench/src/capacity/processes.rs
@@ -76,7 +76,7 @@
 }
 
 fn processor(fleet: &Fleet<Processes>) -> Vec<f64> {
-    fleet.instances.iter().filter_map(|instance| instance.processor_seconds()).collect()
+    fleet.instances.iter().filter_map(|instance| instance.cpu_seconds()).collect()
 }
 
 fn relayed(fleet: &Fleet<Processes>) -> u64 {
--- a/crates/drumusher-bench/src/client.rs
+++ b/crates/drumusher-bench/src/client.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP client for tests and the demo.
+//! A blocking HTTP client for tests, the demo and measurements.
 
 use std::{
     io::{self, Read, Write},
@@ -6,37 +6,37 @@
     time::Duration,
 };
 
-/// An answer, read whole.
+/// An HTTP response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Header names in lower case with their values.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
-    /// The body; what came of it if it broke off.
+    /// Body, or the part of it that was received before an error.
     pub body: String,
-    /// Whether the body broke off.
+    /// Whether an error ended the body early.
     pub broken: bool,
 }
 
 impl Response {
-    /// A header's value.
+    /// Value of a header, whose name is matched without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(other, _)| other.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The body as JSON; null if it is none.
+    /// Body as JSON; null if it isn't valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// The body's lines as JSON.
+    /// Lines of the body as JSON, without those that aren't valid JSON.
     pub fn lines(&self) -> Vec<serde_json::Value> {
         self.body.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 
-    /// The text of an event stream's choices, in order.
+    /// Concatenated text of the first choice in every event of an event stream.
     pub fn streamed_text(&self) -> String {
         let events = self.body.split("\n\n").filter_map(|event| event.strip_prefix("data: "));
         let parsed = events.filter_map(|data| serde_json::from_str::<serde_json::Value>(data).ok());
@@ -49,13 +49,13 @@
     }
 }
 
-/// Longest time one request of a test may take.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Timeout of a request, from connecting to the end of the body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(LONGEST))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build();
     config.into()
 }
@@ -71,11 +71,11 @@
     Response { status, headers, body: String::from_utf8_lossy(&bytes).into_owned(), broken }
 }
 
-/// Gets a path.
+/// Sends a GET request.
 ///
 /// # Errors
 ///
-/// Any error before the answer's head.
+/// Any I/O error before the response head is received.
 pub fn get(address: &str, path: &str, headers: &[(&str, &str)]) -> io::Result<Response> {
     let mut request = agent().get(format!("http://{address}{path}"));
     for (name, value) in headers {
@@ -84,11 +84,11 @@
     request.call().map(read).map_err(io::Error::other)
 }
 
-/// Posts a body to a path.
+/// Sends a POST request.
 ///
 /// # Errors
 ///
-/// Any error before the answer's head.
+/// Any I/O error before the response head is received.
 pub fn post(
     address: &str,
     path: &str,
@@ -102,21 +102,22 @@
     request.send(body).map(read).map_err(io::Error::other)
 }
 
-/// Puts a body to a path.
+/// Sends a PUT request.
 ///
 /// # Errors
 ///
-/// Any error before the answer's head.
+/// Any I/O error before the response head is received.
 pub fn put(address: &str, path: &str, body: &str) -> io::Result<Response> {
     let request = agent().put(format!("http://{address}{path}"));
     request.send(body).map(read).map_err(io::Error::other)
 }
 
-/// A streamed completion on a bare connection, whose answer is not read.
+/// Sends a streaming completion request on a new TCP connection and returns the connection without reading the
+/// response.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of connecting or writing.
 pub fn open_stream(address: &str, key: &str, tag: &str, tokens: u32) -> io::Result<TcpStream> {
     let body = serde_json::json!({
         "model": "draft", "prompt": tag, "max_tokens": tokens, "stream": true,
--- a/crates/drumusher-bench/src/fleet/instance.rs
+++ b/crates/drumusher-bench/src/fleet/instance.rs
@@ -1,4 +1,4 @@
-//! One instance as a process of its own.
+//! An instance that runs as a child process.
 
 use std::{
     fs::{self, File},
@@ -19,30 +19,32 @@
 
 /// One instance of a fleet.
 pub struct Instance {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub availability_zone: String,
-    /// Where callers reach it.
+    /// Address of its HTTP listener, for clients.
     pub http: String,
-    /// Where other instances reach it, behind their relays.
+    /// Address of its peer listener. Other instances connect through their relays.
     pub peer: String,
-    /// Between it and the log.
+    /// Relay to the log service.
     pub log: Relay,
-    /// Between it and the list.
+    /// Relay to the member list.
     pub list: Relay,
-    /// Whether the list has it.
+    /// Whether the member list contains it.
     pub listed: bool,
-    /// Whether the list calls it leaving.
+    /// Whether the member list reports it as leaving.
     pub leaving: bool,
     settings: PathBuf,
-    lines: PathBuf,
+    log_file: PathBuf,
+    /// Relays to other instances by their names.
     peers: Mutex<Vec<(String, Relay)>>,
     child: Option<Child>,
 }
 
-/// An address of the loopback network that no other fleet uses, with two free ports. Outgoing
-/// connections have another source address, so that they cannot take these ports meanwhile.
+/// Chooses a loopback address that no other fleet uses, from the process ID, and two free ports on it. The listeners
+/// are closed again before the instance binds the ports; outgoing connections use another source address and therefore
+/// can't take these ports in between.
 fn addresses() -> io::Result<(SocketAddr, SocketAddr)> {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -86,14 +88,14 @@
             list,
             listed: true,
             leaving: false,
-            lines: folder.join(format!("{name}.log")),
+            log_file: folder.join(format!("{name}.log")),
             settings,
             peers: Mutex::default(),
             child: None,
         })
     }
 
-    /// Puts a relay between this instance and another one.
+    /// Adds a relay for the connections from this instance to another one.
     pub(super) fn relay_to(&self, other: &Instance) -> io::Result<()> {
         let target = other.peer.parse().map_err(io::Error::other)?;
         let relay = Relay::new(target)?;
@@ -102,8 +104,8 @@
         Ok(())
     }
 
-    /// Another instance as the list tells it to this one.
-    pub(super) fn sees(&self, other: &Instance) -> Value {
+    /// Returns the member list entry of another instance as this one receives it, with the address of its relay.
+    pub(super) fn member_entry(&self, other: &Instance) -> Value {
         let peers = self.peers.lock().expect("no holder panics");
         let relay = peers.iter().find(|(name, _)| *name == other.name);
         let address = relay.map_or(other.peer.clone(), |(_, relay)| relay.address().to_string());
@@ -118,7 +120,7 @@
         })
     }
 
-    /// Cuts or heals the way from this instance to another.
+    /// Cuts or restores the connections from this instance to another.
     pub fn cut_to(&self, other: &str, cut: bool) {
         let peers = self.peers.lock().expect("no holder panics");
         for (_, relay) in peers.iter().filter(|(name, _)| name == other) {
@@ -126,45 +128,49 @@
         }
     }
 
-    /// Bytes passed between this instance and the others it connected to, both ways.
+    /// Bytes forwarded in both directions on the connections that this instance opened to others.
     pub fn peer_bytes(&self) -> u64 {
         let peers = self.peers.lock().expect("no holder panics");
         peers.iter().map(|(_, relay)| relay.bytes()).sum()
     }
 
-    /// Cuts or heals the way from this instance to the platform.
+    /// Cuts or restores the connections from this instance to the log service and the member list.
     pub fn cut_platform(&self, cut: bool) {
         self.log.cut(cut);
         self.list.cut(cut);
     }
 
     pub(super) fn start(&mut self, binary: &Path) -> io::Result<()> {
-        let lines = File::options().create(true).append(true).open(&self.lines)?;
+        let log_file = File::options().create(true).append(true).open(&self.log_file)?;
         let child = Command::new(binary)
             .args(["serve", "--config"])
             .arg(&self.settings)
             .stdin(Stdio::null())
-            .stdout(lines.try_clone()?)
-            .stderr(lines)
+            .stdout(log_file.try_clone()?)
+            .stderr(log_file)
             .spawn()?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// The process's number.
-    pub fn process(&self) -> Option<u32> {
+    /// Process ID, if it was started.
+    pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends a signal by name, such as `TERM`, `STOP` or `CONT`.
+    /// Sends the process a signal by name, such as `TERM`, `STOP` or `CONT`.
+    ///
+    /// # Panics
+    ///
+    /// If the signal cannot be sent.
     pub fn signal(&self, signal: &str) {
-        if let Some(process) = self.process() {
-            let sent = Command::new("kill").args(["-s", signal, &process.to_string()]).status();
-            assert!(sent.is_ok_and(|status| status.success()), "kill -s {signal} {process}");
+        if let Some(pid) = self.pid() {
+            let sent = Command::new("kill").args(["-s", signal, &pid.to_string()]).status();
+            assert!(sent.is_ok_and(|status| status.success()), "kill -s {signal} {pid} failed");
         }
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for it to exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -172,26 +178,26 @@
         }
     }
 
-    /// Whether and how the process ended.
+    /// Exit status of the process, if it has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.as_mut()?.try_wait().ok()?
     }
 
-    /// The log lines written so far.
+    /// Log output written so far.
     pub fn lines(&self) -> String {
-        fs::read_to_string(&self.lines).unwrap_or_default()
+        fs::read_to_string(&self.log_file).unwrap_or_default()
     }
 
     /// Resident memory in kilobytes.
     pub fn resident_kb(&self) -> Option<u64> {
-        let status = fs::read_to_string(format!("/proc/{}/status", self.process()?)).ok()?;
+        let status = fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
         line.split_whitespace().nth(1)?.parse().ok()
     }
 
-    /// Processor time used so far, in seconds.
-    pub fn processor_seconds(&self) -> Option<f64> {
-        let stat = fs::read_to_string(format!("/proc/{}/stat", self.process()?)).ok()?;
+    /// CPU time used so far, user and system, in seconds. Assumes 100 clock ticks per second.
+    pub fn cpu_seconds(&self) -> Option<f64> {
+        let stat = fs::read_to_string(format!("/proc/{}/stat", self.pid()?)).ok()?;
         let after = stat.rsplit_once(')')?.1;
         let fields: Vec<&str> = after.split_whitespace().collect();
         let ticks: u64 =
--- a/crates/drumusher-bench/src/fleet/mod.rs
+++ b/crates/drumusher-bench/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and instances on free ports, as a test or the demo needs them.
+//! Fleets of stand-ins and instances on free ports, for tests, the demo and measurements.
 
 mod instance;
 mod relay;
@@ -23,43 +23,43 @@
     stand_in::{self, Kind},
 };
 
-/// The operator's key in every fleet.
+/// API key of the operator in every fleet.
 pub const OPERATOR_KEY: &str = "operator key of the fleet";
-/// The secret of every fleet.
+/// Shared secret of the instances in every fleet.
 pub const FLEET_SECRET: &str = "a secret of a fleet that is started for a test";
-/// Intervals of looks at the platform in tests.
-const INTERVALS: &str = "members_ms = 50\nload_ms = 50";
-/// Longest wait for any condition. Not a bound on speed: a condition that holds by then passes.
-const LONGEST_WAIT: Duration = Duration::from_secs(45);
+/// Settings that shorten the polling intervals of the member list and the load reports.
+const SHORT_INTERVALS: &str = "members_ms = 50\nload_ms = 50";
+/// Timeout of [`wait_for`]. Not a performance bound: a condition may take any time up to it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(45);
 
 /// A backend server of a fleet.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub availability_zone: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// `engine` or `service`.
     pub kind: &'static str,
-    /// The model or service it serves.
+    /// Model or service that it serves.
     pub serves: String,
-    /// Whether the list calls it leaving.
+    /// Whether the member list reports it as leaving.
     pub leaving: bool,
 }
 
-/// How to start stand-ins.
+/// A way to start stand-ins.
 pub trait Starter {
     /// Starts a stand-in and returns its address.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error of starting it.
     fn start(&mut self, kind: Kind) -> io::Result<SocketAddr>;
 }
 
-/// Stand-ins on threads of this process.
+/// Starts stand-ins on threads of the current process.
 #[derive(Debug, Default)]
 pub struct Threads;
 
@@ -69,39 +69,43 @@
     }
 }
 
-/// Stand-ins and instances that belong together. Dropped, its instances are killed.
+/// Stand-ins and the instances that use them. Kills its instances when dropped.
 pub struct Fleet<S: Starter = Threads> {
-    /// The log service.
+    /// Address of the log service.
     pub log: SocketAddr,
-    /// The instances.
+    /// Instances.
     pub instances: Vec<Instance>,
-    /// The backend servers.
+    /// Backend servers.
     pub backends: Vec<Backend>,
     starter: S,
+    /// Member lists, each with the index of the instance that reads it.
     lists: Vec<(SocketAddr, usize)>,
     binary: PathBuf,
     folder: PathBuf,
+    /// Lines of the `[platform]` section in the settings of new instances.
     intervals: String,
+    /// Text appended to the settings of new instances.
     extra: String,
 }
 
 impl Fleet<Threads> {
-    /// A fleet without instances, whose stand-ins run on threads of this process.
+    /// Creates a fleet without instances whose stand-ins run on threads of the current process. Its instances run
+    /// `binary`.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error.
     pub fn new(binary: impl AsRef<Path>) -> io::Result<Self> {
         Fleet::with_starter(binary, Threads)
     }
 }
 
 impl<S: Starter> Fleet<S> {
-    /// A fleet without instances, whose stand-ins `starter` starts.
+    /// Creates a fleet without instances whose stand-ins are started by `starter`. Its instances run `binary`.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error.
     pub fn with_starter(binary: impl AsRef<Path>, mut starter: S) -> io::Result<Self> {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -117,28 +121,28 @@
             lists: Vec::new(),
             binary: binary.as_ref().to_path_buf(),
             folder,
-            intervals: INTERVALS.to_string(),
+            intervals: SHORT_INTERVALS.to_string(),
             extra: String::new(),
         })
     }
 
-    /// Uses the default intervals of looks at the platform instead of the short ones of tests.
+    /// Makes new instances poll the platform at the default intervals instead of the short ones of tests.
     pub fn with_default_intervals(mut self) -> Self {
         self.intervals.clear();
         self
     }
 
-    /// Adds text to the settings of instances started from now on.
+    /// Sets the text appended to the settings of new instances.
     pub fn with_settings(mut self, extra: &str) -> Self {
         self.extra = extra.to_string();
         self
     }
 
-    /// Starts a backend server.
+    /// Starts a backend server, publishes it on the member lists and returns its address.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error.
     pub fn add_backend(
         &mut self,
         kind: Kind,
@@ -160,11 +164,12 @@
         Ok(address)
     }
 
-    /// Starts an instance with relays before everything it connects to, and waits until it lives.
+    /// Starts an instance whose connections to the platform and to other instances pass through relays. Returns its
+    /// index without waiting until it is ready.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error.
     pub fn add_instance(&mut self, name: &str, zone: &str) -> io::Result<usize> {
         let list = self.starter.start(Kind::List)?;
         let number = self.instances.len();
@@ -183,25 +188,26 @@
         Ok(number)
     }
 
-    /// Starts an instance again that was killed or ended.
+    /// Restarts an instance whose process was killed or has exited.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error.
     pub fn restart(&mut self, number: usize) -> io::Result<()> {
         self.instances[number].start(&self.binary)
     }
 
-    /// Brings the lists in line with what is there. An instance sees the others through its relays.
+    /// Updates the member lists of all instances. Each receives the addresses of its own relays as those of the others.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error.
     pub fn publish(&self) -> io::Result<()> {
-        for (list, viewer) in &self.lists {
-            let viewer = &self.instances[*viewer];
+        for (list, reader) in &self.lists {
+            let reader = &self.instances[*reader];
             let instances = self.instances.iter().filter(|instance| instance.listed);
-            let mut members: Vec<Value> = instances.map(|other| viewer.sees(other)).collect();
+            let mut members: Vec<Value> =
+                instances.map(|other| reader.member_entry(other)).collect();
             members.extend(self.backends.iter().map(|backend| {
                 json!({
                     "name": backend.name,
@@ -219,7 +225,11 @@
         Ok(())
     }
 
-    /// Waits until every instance is ready.
+    /// Waits until every listed instance is ready.
+    ///
+    /// # Panics
+    ///
+    /// As [`wait_for`].
     pub fn wait_ready(&self) {
         for instance in self.instances.iter().filter(|instance| instance.listed) {
             wait_for(&format!("{} is ready", instance.name), || {
@@ -229,25 +239,33 @@
         }
     }
 
-    /// Sends an operator's statement to an instance.
+    /// Sends an operator's statement to an instance and returns the response.
     ///
     /// # Errors
     ///
-    /// Any error before the answer's head.
+    /// Any I/O error before the response head is received.
     pub fn ask(&self, number: usize, statement: &str) -> io::Result<Response> {
         let authorization = format!("Bearer {OPERATOR_KEY}");
         let headers = [("authorization", authorization.as_str())];
         client::post(&self.instances[number].http, "/operator/query", &headers, statement)
     }
 
-    /// Sends an operator's command to an instance and panics unless it is accepted.
+    /// Sends an operator's command to an instance.
+    ///
+    /// # Panics
+    ///
+    /// If the instance doesn't answer or doesn't accept the command.
     pub fn command(&self, number: usize, statement: &str) {
-        let response = self.ask(number, statement).expect("the instance answers");
+        let response = self.ask(number, statement).expect("the instance responds");
         let answer = response.lines().first().map(|line| line["answer"].clone());
         assert_eq!(answer, Some(json!("accepted")), "{statement}: {}", response.body);
     }
 
-    /// Creates the classes and workspaces that tests use; the key of workspace `w` is `key-w`.
+    /// Creates the classes and workspaces that tests use. The API key of workspace `w` is `key-w`.
+    ///
+    /// # Panics
+    ///
+    /// As [`Fleet::command`].
     pub fn configure(&self) {
         self.command(0, "create class urgent tier = 0 first_token = 1500ms floor_every = 0");
         self.command(0, "create class summary tier = 2 first_token = 10s");
@@ -259,10 +277,13 @@
         }
     }
 
-    /// Waits until every listed instance sees the same configuration offset and all backend
-    /// servers' pools.
+    /// Waits until instance 0 shows every listed instance, all at the same configuration offset.
+    ///
+    /// # Panics
+    ///
+    /// As [`wait_for`].
     pub fn wait_converged(&self) {
-        wait_for("the instances agree", || {
+        wait_for("all instances are at the same configuration offset", || {
             let rows = self.ask(0, "show instances").map(|answer| answer.lines());
             let rows = rows.unwrap_or_default();
             let offsets: Vec<&Value> = rows.iter().map(|row| &row["next_offset"]).collect();
@@ -271,7 +292,7 @@
         });
     }
 
-    /// Where the folder with settings and log lines is.
+    /// Folder with the settings and log files of the instances.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -288,20 +309,20 @@
     }
 }
 
-/// The API key of a workspace in a fleet.
+/// API key of a workspace in a fleet.
 pub fn key(workspace: &str) -> String {
     format!("key-{workspace}")
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, checking it every 10 ms.
 ///
 /// # Panics
 ///
-/// If it does not hold after a very long time.
+/// If it doesn't hold within 45 seconds.
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let since = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < LONGEST_WAIT, "waited in vain until {what}");
+        assert!(since.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         thread::park_timeout(Duration::from_millis(10));
     }
 }
--- a/crates/drumusher-bench/src/fleet/relay.rs
+++ b/crates/drumusher-bench/src/fleet/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can be cut, reset, slowed, narrowed and silenced, one way or both.
+//! A TCP relay that injects network faults: cut, reset, delay, limited bandwidth, and stalls in one or both directions.
 
 use std::{
     collections::HashMap,
@@ -14,68 +14,68 @@
 
 use socket2::SockRef;
 
-/// Bytes passed on at once.
-const PIECE: usize = 16 * 1024;
-/// Time between two looks whether a silenced way speaks again.
-const LOOK: Duration = Duration::from_millis(5);
+/// Bytes forwarded at once.
+const CHUNK: usize = 16 * 1024;
+/// Interval at which a stalled direction checks whether it may continue.
+const STALL_POLL: Duration = Duration::from_millis(5);
 
-/// How a relay passes bytes on.
+/// How a relay forwards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// As they come.
+    /// Without faults.
     #[default]
     Open,
-    /// Each piece so late.
+    /// Each chunk is delayed by this duration.
     Delayed(Duration),
-    /// As over a link that carries so many bytes a second each way, which all connections share.
+    /// Bandwidth is limited to this number of bytes per second in each direction, shared by all connections.
     Throttled(u64),
-    /// Nothing reaches the target until another mode is set.
+    /// Bytes to the target are held back until another mode is set.
     StalledToTarget,
-    /// Nothing comes back from the target until another mode is set.
+    /// Bytes from the target are held back until another mode is set.
     StalledFromTarget,
-    /// Nothing passes either way until another mode is set.
+    /// Bytes in both directions are held back until another mode is set.
     Stalled,
 }
 
-/// The way that bytes take through a relay.
+/// Direction in which a relay forwards bytes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    To,
-    Back,
+enum Direction {
+    ToTarget,
+    FromTarget,
 }
 
-/// Both sides of a connection that passes.
+/// The two TCP connections that make up a relayed connection.
 struct Pair {
-    near: TcpStream,
-    far: TcpStream,
+    client: TcpStream,
+    target: TcpStream,
 }
 
-/// What a relay shares with the threads of its connections.
+/// State that a relay shares with the threads of its connections.
 #[derive(Default)]
 struct State {
     cut: AtomicBool,
     mode: Mutex<Mode>,
-    /// The connections that pass, by number.
+    /// Open connections by number.
     open: Mutex<HashMap<u64, Pair>>,
-    /// The number of the next connection.
+    /// Number of the next connection.
     next: AtomicU64,
     bytes: AtomicU64,
-    /// Until when a narrow link is taken, to the target and back.
-    taken: [Mutex<Option<Instant>>; 2],
+    /// End of the transmissions scheduled on a throttled link, by [`Direction`].
+    busy_until: [Mutex<Option<Instant>>; 2],
 }
 
-/// Passes connections on to a target until it is cut.
+/// Forwards TCP connections to a target.
 pub struct Relay {
     address: SocketAddr,
     state: Arc<State>,
 }
 
 impl Relay {
-    /// A relay to `target` on a free port.
+    /// Starts a relay to `target` on a free port of the loopback interface.
     ///
     /// # Errors
     ///
-    /// Any error of the operating system.
+    /// Any I/O error of binding the listener or spawning its thread.
     pub fn new(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -84,42 +84,42 @@
         thread::Builder::new().name("relay".into()).spawn(move || {
             for stream in listener.incoming().flatten() {
                 if !shared.cut.load(Ordering::Acquire) {
-                    // A target that is not there ends the caller's connection, as without a relay.
-                    let _ = pass(stream, target, &shared);
+                    // If the target refuses the connection, dropping the stream closes the client's.
+                    let _ = relay_connection(stream, target, &shared);
                 }
             }
         })?;
         Ok(Relay { address, state })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes passed on so far, both ways.
+    /// Bytes forwarded so far in both directions.
     pub fn bytes(&self) -> u64 {
         self.state.bytes.load(Ordering::Relaxed)
     }
 
-    /// Sets how bytes pass from now on, also on connections that are open.
+    /// Sets the mode for all connections, including open ones.
     pub fn set(&self, mode: Mode) {
         *self.state.mode.lock().expect("no holder panics") = mode;
     }
 
-    /// Resets all connections; new ones pass.
+    /// Resets all open connections. New ones are accepted.
     pub fn reset(&self) {
         let mut open = self.state.open.lock().expect("no holder panics");
         for (_, pair) in open.drain() {
-            for stream in [&pair.near, &pair.far] {
-                // A connection that ended by itself meanwhile needs no reset.
+            for stream in [&pair.client, &pair.target] {
+                // Errors are ignored: a connection that closed in the meantime needs no reset.
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
                 let _ = stream.shutdown(Shutdown::Read);
             }
         }
     }
 
-    /// Breaks all connections and lets none through, or lets them through again.
+    /// With `true`, closes all connections and every new one; with `false`, accepts connections again.
     pub fn cut(&self, cut: bool) {
         self.state.cut.store(cut, Ordering::Release);
         if !cut {
@@ -127,98 +127,99 @@
         }
         let mut open = self.state.open.lock().expect("no holder panics");
         for (_, pair) in open.drain() {
-            pair.end();
+            pair.close();
         }
     }
 }
 
 impl Pair {
-    /// Ends both sides in order.
-    fn end(&self) {
-        let _ = self.near.shutdown(Shutdown::Both);
-        let _ = self.far.shutdown(Shutdown::Both);
+    /// Shuts down both connections.
+    fn close(&self) {
+        let _ = self.client.shutdown(Shutdown::Both);
+        let _ = self.target.shutdown(Shutdown::Both);
     }
 }
 
 impl State {
-    /// Waits as the mode wants it. Returns whether the connection is still to be passed on.
-    fn hold(&self, number: u64, way: Way, length: usize) -> bool {
+    /// Delays a chunk of `length` bytes as the mode requires. Returns whether the connection is still open.
+    fn apply_mode(&self, number: u64, direction: Direction, length: usize) -> bool {
         loop {
             let mode = *self.mode.lock().expect("no holder panics");
-            let muted = match mode {
+            let stalled = match mode {
                 Mode::Open => false,
-                Mode::Delayed(late) => {
-                    thread::sleep(late);
+                Mode::Delayed(delay) => {
+                    thread::sleep(delay);
                     false
                 }
                 Mode::Throttled(rate) => {
-                    thread::sleep(self.queue(way, length, rate));
+                    thread::sleep(self.schedule(direction, length, rate));
                     false
                 }
                 Mode::Stalled => true,
-                Mode::StalledToTarget => way == Way::To,
-                Mode::StalledFromTarget => way == Way::Back,
+                Mode::StalledToTarget => direction == Direction::ToTarget,
+                Mode::StalledFromTarget => direction == Direction::FromTarget,
             };
             if !self.open.lock().expect("no holder panics").contains_key(&number) {
                 return false;
             }
-            if !muted {
+            if !stalled {
                 return true;
             }
-            thread::sleep(LOOK);
+            thread::sleep(STALL_POLL);
         }
     }
 
-    /// Takes a narrow link for `length` bytes, after those that came before. Returns how long that lasts.
-    fn queue(&self, way: Way, length: usize, rate: u64) -> Duration {
-        let mut taken = self.taken[way as usize].lock().expect("no holder panics");
+    /// Schedules the transmission of `length` bytes on a throttled link, after those scheduled before. Returns the
+    /// time until it ends.
+    fn schedule(&self, direction: Direction, length: usize, rate: u64) -> Duration {
+        let mut busy_until = self.busy_until[direction as usize].lock().expect("no holder panics");
         let now = Instant::now();
-        let until =
-            taken.unwrap_or(now).max(now) + Duration::from_secs_f64(length as f64 / rate as f64);
-        *taken = Some(until);
+        let until = busy_until.unwrap_or(now).max(now)
+            + Duration::from_secs_f64(length as f64 / rate as f64);
+        *busy_until = Some(until);
         until - now
     }
 
-    /// Ends a connection, unless it was ended by a cut or reset.
-    fn end(&self, number: u64) {
+    /// Closes a connection, unless a cut or reset has already closed it.
+    fn close(&self, number: u64) {
         let pair = self.open.lock().expect("no holder panics").remove(&number);
         if let Some(pair) = pair {
-            pair.end();
+            pair.close();
         }
     }
 }
 
-/// Opens the far side of a connection and passes bytes on, both ways, on two threads.
-fn pass(stream: TcpStream, target: SocketAddr, state: &Arc<State>) -> io::Result<()> {
-    let onward = TcpStream::connect(target)?;
-    stream.set_nodelay(true)?;
-    onward.set_nodelay(true)?;
+/// Connects to the target and forwards bytes in both directions, each on its own thread.
+fn relay_connection(client: TcpStream, address: SocketAddr, state: &Arc<State>) -> io::Result<()> {
+    let target = TcpStream::connect(address)?;
+    client.set_nodelay(true)?;
+    target.set_nodelay(true)?;
     let number = state.next.fetch_add(1, Ordering::Relaxed);
-    let pair = Pair { near: stream.try_clone()?, far: onward.try_clone()? };
+    let pair = Pair { client: client.try_clone()?, target: target.try_clone()? };
     state.open.lock().expect("no holder panics").insert(number, pair);
-    let back = (onward.try_clone()?, stream.try_clone()?);
-    copy(stream, onward, state.clone(), number, Way::To)?;
-    copy(back.0, back.1, state.clone(), number, Way::Back)
+    let reverse = (target.try_clone()?, client.try_clone()?);
+    copy(client, target, state.clone(), number, Direction::ToTarget)?;
+    copy(reverse.0, reverse.1, state.clone(), number, Direction::FromTarget)
 }
 
-/// Passes bytes on one way, on a thread of its own, until either side or the relay ends the connection.
+/// Forwards bytes in one direction on a new thread until either side or the relay closes the connection.
 fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
     state: Arc<State>,
     number: u64,
-    way: Way,
+    direction: Direction,
 ) -> io::Result<()> {
     let run = move || {
-        let mut piece = [0; PIECE];
-        while let Ok(length) = from.read(&mut piece) {
-            let ended = length == 0 || !state.hold(number, way, length);
-            if ended || to.write_all(&piece[..length]).is_err() {
+        let mut chunk = [0; CHUNK];
+        while let Ok(length) = from.read(&mut chunk) {
+            let ended = length == 0 || !state.apply_mode(number, direction, length);
+            if ended || to.write_all(&chunk[..length]).is_err() {
                 break;
             }
             state.bytes.fetch_add(length as u64, Ordering::Relaxed);
         }
-        state.end(number);
+        state.close(number);
     };
     thread::Builder::new().name("relay-copy".into()).spawn(run).map(drop)
 }
--- a/crates/drumusher-bench/src/overhead.rs
+++ b/crates/drumusher-bench/src/overhead.rs
@@ -68,13 +68,13 @@
     for streams in STREAMS {
         let mut direct = 0.0;
         for (way, address, instance) in &ways {
-            let before = instance.and_then(|at| fleet.instances[at].processor_seconds());
+            let before = instance.and_then(|at| fleet.instances[at].cpu_seconds());
             let since = std::time::Instant::now();
             let requests = (streams * EACH).max(LEAST);
             let samples =
                 load::closed(address, &key("vanua"), "urgent", (streams, requests), TOKENS);
             let seconds = since.elapsed().as_secs_f64();
-            let after = instance.and_then(|at| fleet.instances[at].processor_seconds());
+            let after = instance.and_then(|at| fleet.instances[at].cpu_seconds());
             let used = before.zip(after).map(|(before, after)| after - before);
             let figures = Figures::new(&samples);
             if instance.is_none() {
