--- a/crates/drumusher-bench/src/demo.rs
+++ b/crates/drumusher-bench/src/demo.rs
@@ -174,7 +174,7 @@
         keys: vec![key("vanua"), key("hizlikosu")],
         model: "draft".into(),
         classes: vec![class("urgent", 60.0, 60, 1_500), class("summary", 30.0, 400, 10_000)],
-        lasts: Duration::from_secs(5),
+        duration: Duration::from_secs(5),
         seed: 1,
     };
     println!("\nFive seconds of load from two workspaces in two classes:");
--- a/crates/drumusher-bench/src/load.rs
+++ b/crates/drumusher-bench/src/load.rs
@@ -1,4 +1,5 @@
-//! Load on instances: open-loop by class, or a fixed number of streams at once.
+//! Load generator for instances: open-loop arrivals per class, or closed-loop with a fixed number of concurrent
+//! streams.
 
 use std::{
     cell::RefCell,
@@ -22,97 +23,99 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// Longest time of one request.
-const LONGEST: Millis = Millis(60_000);
-/// Most connections of the client.
-const CONNECTIONS: usize = 8_192;
+/// Connect and response timeout of a request.
+const REQUEST_TIMEOUT: Millis = Millis(60_000);
+/// Maximum number of connections of the client.
+const MAX_CONNECTIONS: usize = 8_192;
 
-/// One class's part of an open-loop load.
+/// Part of an open-loop load that belongs to one class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Requests a second.
+    /// Mean arrival rate in requests per second.
     pub rate: f64,
-    /// Tokens of an answer, at most; they vary down to a third.
+    /// Maximum output tokens of a request. Requests ask for a uniformly distributed number between a third of it and
+    /// all of it.
     pub tokens: u32,
-    /// Target to the first token.
+    /// Target for the time to first token.
     pub target: Duration,
 }
 
 /// An open-loop load.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Instances, each `ip:port`.
+    /// Addresses of the instances, each `ip:port`.
     pub addresses: Vec<String>,
-    /// API keys of the workspaces that send.
+    /// API keys of the workspaces that send requests.
     pub keys: Vec<String>,
-    /// The model.
+    /// Model that is requested.
     pub model: String,
-    /// The classes.
+    /// Classes of the requests.
     pub classes: Vec<Class>,
-    /// How long requests are sent.
-    pub lasts: Duration,
-    /// Seed of arrivals and lengths.
+    /// Time during which requests are sent.
+    pub duration: Duration,
+    /// Random seed of arrival times and output lengths.
     pub seed: u64,
 }
 
-/// The figures of one class.
+/// Results of an open-loop load for one class.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figures {
+pub struct Results {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub whole: u64,
-    /// Whole answers whose first token came in time.
+    /// Complete responses whose first token met the target.
     pub in_time: u64,
-    /// Refusals.
+    /// Responses with status 429 or 503.
     pub refused: u64,
-    /// Everything else.
+    /// Requests that were neither completed nor refused.
     pub failed: u64,
     /// Tokens received.
     pub tokens: u64,
-    /// Milliseconds to the first token, at the middle.
+    /// Median time to first token, in milliseconds.
     pub first_p50_ms: f64,
-    /// Milliseconds to the first token, 99 of 100.
+    /// 99th percentile of the time to first token, in milliseconds.
     pub first_p99_ms: f64,
-    /// Requests in time, of a hundred sent.
+    /// Requests in time, as a percentage of those sent.
     pub attainment: f64,
-    /// Requests in time each second.
+    /// Requests in time per second.
     pub goodput: f64,
 }
 
-/// What one request brought.
+/// Result of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
-    /// Time to the first token.
+    /// Time to first token.
     pub first: Option<Duration>,
-    /// Time to the end.
+    /// Time until the response ended.
     pub total: Duration,
     /// Tokens received.
     pub tokens: u64,
-    /// Whether the answer was whole.
+    /// Whether the response was complete.
     pub whole: bool,
 }
 
-/// A client for load.
+/// Creates an HTTP client for generating load.
 ///
 /// # Panics
 ///
-/// If the library cannot make one.
+/// If the client cannot be built.
 pub async fn client() -> Client {
-    let connector = Connector::new().limit(CONNECTIONS).connector(tcp::connector(LONGEST));
+    let connector =
+        Connector::new().limit(MAX_CONNECTIONS).connector(tcp::connector(REQUEST_TIMEOUT));
     Client::builder()
         .connector::<()>(connector)
-        .response_timeout(LONGEST)
+        .response_timeout(REQUEST_TIMEOUT)
         .build(SharedCfg::default())
         .await
         .expect("the options are valid")
 }
 
-/// Sends one streamed completion and reads it to its end.
+/// Sends one streaming completion request and reads the response to its end.
 pub async fn request(
     client: &Client,
     address: &str,
@@ -142,20 +145,21 @@
     sample
 }
 
+/// Reads an event stream and records its first token, its tokens and whether it was complete.
 async fn read(mut payload: Payload, since: Instant, sample: &mut Sample) {
     let mut tail = Vec::new();
-    while let Some(Ok(piece)) = stream_recv(&mut payload).await {
-        let tokens = count(&piece, b"\"token_index\"");
+    while let Some(Ok(chunk)) = stream_recv(&mut payload).await {
+        let tokens = count(&chunk, b"\"token_index\"");
         if tokens > 0 && sample.first.is_none() {
             sample.first = Some(since.elapsed());
         }
         sample.tokens += tokens;
-        tail.extend_from_slice(&piece[piece.len().saturating_sub(16)..]);
-        let keep = tail.len().saturating_sub(16);
-        tail.drain(..keep);
+        tail.extend_from_slice(&chunk[chunk.len().saturating_sub(16)..]);
+        let excess = tail.len().saturating_sub(16);
+        tail.drain(..excess);
     }
     sample.whole = tail.ends_with(b"data: [DONE]\n\n");
-    // The last event has the finish marker and no token.
+    // The last event carries a token index but no token, only the finish reason.
     sample.tokens = sample.tokens.saturating_sub(u64::from(sample.whole));
 }
 
@@ -163,11 +167,12 @@
     bytes.windows(key.len()).filter(|window| *window == key).count() as u64
 }
 
-/// Runs an open-loop load to its end, on this thread. Blocks.
-pub fn open(plan: &Plan) -> BTreeMap<String, Figures> {
-    let runner = rt::System::build().name("load").build(rt::DefaultRuntime);
+/// Runs an open-loop load on the current thread and returns the results by class name. Blocks until all responses have
+/// ended.
+pub fn open(plan: &Plan) -> BTreeMap<String, Results> {
+    let runtime = rt::System::build().name("load").build(rt::DefaultRuntime);
     let plan = plan.clone();
-    runner.block_on(async move {
+    runtime.block_on(async move {
         let client = client().await;
         let samples: Rc<RefCell<BTreeMap<String, Vec<Sample>>>> = Rc::default();
         let mut senders = Vec::new();
@@ -179,18 +184,18 @@
         for sender in senders {
             let _ = sender.await;
         }
-        let seconds = plan.lasts.as_secs_f64();
+        let seconds = plan.duration.as_secs_f64();
         let samples = samples.borrow();
-        let figures = plan.classes.iter().map(|class| {
+        let results = plan.classes.iter().map(|class| {
             let samples = samples.get(&class.name).map_or(&[][..], Vec::as_slice);
-            (class.name.clone(), figures(samples, class, seconds))
+            (class.name.clone(), results(samples, class, seconds))
         });
-        figures.collect()
+        results.collect()
     })
 }
 
-/// Sends one class's requests when they are due, whatever became of the earlier ones, and waits
-/// for all answers.
+/// Sends the requests of one class at random (Poisson) arrival times, regardless of earlier responses, and waits for
+/// all responses.
 async fn send(
     plan: Plan,
     class: Class,
@@ -199,11 +204,11 @@
     samples: Rc<RefCell<BTreeMap<String, Vec<Sample>>>>,
 ) {
     let mut random = StdRng::seed_from_u64(plan.seed + number);
-    let begin = Instant::now();
+    let started = Instant::now();
     let mut due = Duration::ZERO;
-    let mut open = Vec::new();
-    while due < plan.lasts {
-        let wait = due.saturating_sub(begin.elapsed());
+    let mut pending = Vec::new();
+    while due < plan.duration {
+        let wait = due.saturating_sub(started.elapsed());
         if !wait.is_zero() {
             sleep(Millis(wait.as_millis().max(1) as u32)).await;
         }
@@ -212,19 +217,19 @@
         let tokens = random.random_range(class.tokens / 3..=class.tokens).max(1);
         let (client, class, model) = (client.clone(), class.clone(), plan.model.clone());
         let samples = samples.clone();
-        open.push(rt::spawn(async move {
+        pending.push(rt::spawn(async move {
             let sample = request(&client, &address, &key, &class.name, &model, tokens).await;
             samples.borrow_mut().entry(class.name).or_default().push(sample);
         }));
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
         due += Duration::from_secs_f64(-uniform.ln() / class.rate);
     }
-    for request in open {
+    for request in pending {
         let _ = request.await;
     }
 }
 
-fn figures(samples: &[Sample], class: &Class, seconds: f64) -> Figures {
+fn results(samples: &[Sample], class: &Class, seconds: f64) -> Results {
     let mut first = histogram();
     for time in samples.iter().filter_map(|sample| sample.first) {
         first.saturating_record(time.as_micros() as u64);
@@ -235,7 +240,7 @@
         count(&|sample| sample.whole && sample.first.is_some_and(|time| time <= class.target));
     let refused = count(&|sample| matches!(sample.status, 429 | 503));
     let sent = samples.len() as u64;
-    Figures {
+    Results {
         sent,
         whole,
         in_time,
@@ -249,12 +254,13 @@
     }
 }
 
-/// A histogram of microseconds up to two minutes.
+/// Creates a histogram of durations in microseconds, up to two minutes.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("the bounds are valid")
 }
 
-/// Keeps `streams` requests open at once until `requests` have ended. Blocks.
+/// Runs a closed-loop load: keeps `streams` requests open concurrently until `requests` have been sent, and returns
+/// their results. Blocks until all responses have ended.
 pub fn closed(
     address: &str,
     key: &str,
@@ -262,44 +268,45 @@
     (streams, requests): (usize, usize),
     tokens: u32,
 ) -> Vec<Sample> {
-    let runner = rt::System::build().name("load").build(rt::DefaultRuntime);
+    let runtime = rt::System::build().name("load").build(rt::DefaultRuntime);
     let (address, key, class) = (address.to_string(), key.to_string(), class.to_string());
-    runner.block_on(async move {
+    runtime.block_on(async move {
         let client = client().await;
-        let left = Rc::new(RefCell::new(requests));
+        let remaining = Rc::new(RefCell::new(requests));
         let samples: Rc<RefCell<Vec<Sample>>> = Rc::default();
-        let mut loops = Vec::new();
+        let mut tasks = Vec::new();
         for _ in 0..streams {
-            let (client, left, samples) = (client.clone(), left.clone(), samples.clone());
+            let (client, remaining, samples) = (client.clone(), remaining.clone(), samples.clone());
             let (address, key, class) = (address.clone(), key.clone(), class.clone());
-            loops.push(rt::spawn(async move {
-                while take(&left) {
+            tasks.push(rt::spawn(async move {
+                while take(&remaining) {
                     let sample = request(&client, &address, &key, &class, "draft", tokens).await;
                     samples.borrow_mut().push(sample);
                 }
             }));
         }
-        for one in loops {
-            let _ = one.await;
+        for task in tasks {
+            let _ = task.await;
         }
         samples.take()
     })
 }
 
-fn take(left: &RefCell<usize>) -> bool {
-    let mut left = left.borrow_mut();
-    let some = *left > 0;
-    *left = left.saturating_sub(1);
-    some
+/// Takes one of the remaining requests. Returns whether there was one.
+fn take(remaining: &RefCell<usize>) -> bool {
+    let mut remaining = remaining.borrow_mut();
+    let available = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    available
 }
 
-/// Figures by class as a table.
-pub fn table(figures: &BTreeMap<String, Figures>) -> String {
+/// Formats the results by class as a table in Markdown.
+pub fn table(results: &BTreeMap<String, Results>) -> String {
     let mut text = String::from(
         "| class | sent | whole | in time | refused | failed | attainment % | goodput/s | first \
          token p50 ms | p99 ms |\n|---|---|---|---|---|---|---|---|---|---|\n",
     );
-    for (class, f) in figures {
+    for (class, f) in results {
         let _ = writeln!(
             text,
             "| {class} | {} | {} | {} | {} | {} | {:.1} | {:.1} | {:.1} | {:.1} |",
--- a/crates/drumusher-bench/src/main.rs
+++ b/crates/drumusher-bench/src/main.rs
@@ -10,18 +10,18 @@
 
 const USAGE: &str = "\
 Usage:
-    drumusher-bench demo                 separate processes, real requests, figures
-    drumusher-bench overhead             what an instance adds to an engine's own latency
-    drumusher-bench failover             what requests wait when their dispatcher is lost
-    drumusher-bench capacity             the slopes behind docs/CAPACITY.md
-    drumusher-bench policy [--ablate]    the decisions in virtual time against baselines
+    drumusher-bench demo                 run a small fleet of processes and send requests
+    drumusher-bench overhead             measure the latency and CPU time that an instance adds
+    drumusher-bench failover             measure the latency of requests when a dispatcher fails
+    drumusher-bench capacity             measure the growth of costs for docs/CAPACITY.md
+    drumusher-bench policy [--ablate]    compare scheduling with baselines in virtual time
     drumusher-bench stand-in KIND [IP:PORT]
-                                         an engine, service, log or list of its own process";
+                                         serve a stand-in; KIND is engine, service, log or list";
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = env::args().skip(1).collect();
-    let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let done = match words.as_slice() {
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let result = match arguments.as_slice() {
         ["demo"] => demo::run().map_err(|e| e.to_string()),
         ["overhead"] => overhead::run().map_err(|e| e.to_string()),
         ["failover"] => failover::run().map_err(|e| e.to_string()),
@@ -33,7 +33,7 @@
         ["stand-in", kind, address] => stand_in(kind, address),
         _ => Err(USAGE.to_string()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -42,6 +42,7 @@
     }
 }
 
+/// Runs all scenarios with each decider and prints the results.
 fn policy(deciders: &[Decider]) -> Result<(), String> {
     let mut figures = Vec::new();
     for scenario in scenario::all() {
@@ -51,14 +52,14 @@
     Ok(())
 }
 
-/// Serves a stand-in until the process is ended; its address is the first line it prints.
+/// Serves a stand-in until the process is terminated. Prints its address as the first line.
 fn stand_in(kind: &str, address: &str) -> Result<(), String> {
     let kind = match kind {
         "engine" => Kind::Engine,
         "service" => Kind::Service,
         "log" => Kind::Log,
         "list" => Kind::List,
-        other => return Err(format!("there is no stand-in {other}")),
+        other => return Err(format!("unknown kind of stand-in {other:?}")),
     };
     let listener = TcpListener::bind(address).map_err(|e| e.to_string())?;
     println!("{}", listener.local_addr().map_err(|e| e.to_string())?);
