--- a/crates/drumusher-bench/src/main.rs
+++ b/crates/drumusher-bench/src/main.rs
@@ -44,11 +44,11 @@
 
 /// Runs all scenarios with each decider and prints the results.
 fn policy(deciders: &[Decider]) -> Result<(), String> {
-    let mut figures = Vec::new();
+    let mut metrics = Vec::new();
     for scenario in scenario::all() {
-        figures.extend(deciders.iter().map(|decider| report::measure(&scenario, *decider)));
+        metrics.extend(deciders.iter().map(|decider| report::measure(&scenario, *decider)));
     }
-    print!("{}", report::table(&figures));
+    print!("{}", report::table(&metrics));
     Ok(())
 }
 
--- a/crates/drumusher-bench/src/policy/baseline.rs
+++ b/crates/drumusher-bench/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines.
+//! Baseline schedulers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,25 +12,28 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-use super::Decide;
+use super::Scheduler;
 
-/// One queue for the pool: by tier and arrival, or by arrival alone.
+/// One queue for the pool, ordered by tier and arrival or by arrival alone. Grants go to the backend server with the
+/// fewest running requests.
 pub struct Queue {
     policy: Policy,
     strict: bool,
     waiting: BTreeMap<(u8, Micros, Id), Ask>,
     running: HashMap<Id, (server::Key, u8)>,
+    /// Running requests and slots of each backend server.
     servers: BTreeMap<server::Key, (u32, u32)>,
 }
 
 impl Queue {
-    /// An empty queue. With `strict`, higher tiers go first.
+    /// Creates an empty queue. If `strict`, higher tiers run first.
     pub fn new(policy: Policy, strict: bool) -> Self {
         let (waiting, running, servers) = Default::default();
         Queue { policy, strict, waiting, running, servers }
     }
 
-    fn fill(&mut self, orders: &mut Vec<Order>) {
+    /// Grants waiting requests until no slot is free.
+    fn grant_waiting(&mut self, orders: &mut Vec<Order>) {
         loop {
             let free = self.servers.iter().filter(|(_, (running, slots))| running < slots);
             let Some(server) = free.min_by_key(|(_, (running, _))| *running).map(|(key, _)| *key)
@@ -57,14 +60,15 @@
         }
     }
 
-    fn end(&mut self, id: Id) {
+    /// Frees the slot of a running request.
+    fn release(&mut self, id: Id) {
         if let Some((server, _)) = self.running.remove(&id) {
             self.servers.entry(server).and_modify(|(running, _)| *running -= 1);
         }
     }
 }
 
-impl Decide for Queue {
+impl Scheduler for Queue {
     fn handle(&mut self, _: Micros, event: Event, orders: &mut Vec<Order>) {
         match event {
             Event::Ask(ask) => {
@@ -73,9 +77,9 @@
             }
             Event::Withdraw(id) => {
                 self.waiting.retain(|(_, _, other), _| *other != id);
-                self.end(id);
+                self.release(id);
             }
-            Event::Finish(id, _, _) => self.end(id),
+            Event::Finish(id, _, _) => self.release(id),
             Event::Server(key, options) => {
                 self.servers.insert(key, (0, options.slots));
             }
@@ -84,7 +88,7 @@
             }
             _ => {}
         }
-        self.fill(orders);
+        self.grant_waiting(orders);
     }
 
     fn lower_may_yield(&self, tier: u8) -> bool {
@@ -92,14 +96,14 @@
     }
 }
 
-/// Each instance alone: of two backend servers chosen at random, the less loaded by its report.
+/// No shared queue: of two backend servers chosen at random, each request goes to the one with the lower reported load.
 pub struct TwoChoices {
     reported: BTreeMap<server::Key, u32>,
     random: StdRng,
 }
 
 impl TwoChoices {
-    /// Without any report yet.
+    /// Creates a scheduler without load reports.
     pub fn new(seed: u64) -> Self {
         TwoChoices { reported: BTreeMap::new(), random: StdRng::seed_from_u64(seed) }
     }
@@ -110,13 +114,13 @@
         if servers.is_empty() {
             return None;
         }
-        let mut pick = || servers[self.random.random_range(0..servers.len())];
-        let (first, second) = (pick(), pick());
+        let mut sample = || servers[self.random.random_range(0..servers.len())];
+        let (first, second) = (sample(), sample());
         Some(if first.1 <= second.1 { first.0 } else { second.0 })
     }
 }
 
-impl Decide for TwoChoices {
+impl Scheduler for TwoChoices {
     fn handle(&mut self, _: Micros, event: Event, orders: &mut Vec<Order>) {
         match event {
             Event::Ask(ask) => {
--- a/crates/drumusher-bench/src/policy/engine.rs
+++ b/crates/drumusher-bench/src/policy/engine.rs
@@ -1,58 +1,59 @@
-//! A small model of an engine in virtual time: continuous batching with steps that grow with the
-//! batch, a queue of its own that honours priorities, and a cache of prefixes.
+//! Model of an inference engine in virtual time: continuous batching with a step duration that grows with the batch,
+//! a priority queue and a prefix cache.
 
 use std::collections::{HashMap, VecDeque};
 
 use drumusher_schedule::time::Micros;
 
-/// Prompt tokens that one step processes for a sequence.
+/// Prompt tokens that one step processes per sequence.
 const PREFILL_PER_STEP: u32 = 512;
-/// Prefixes an engine holds.
-const CACHE: usize = 64;
+/// Capacity of an engine's prefix cache, in prefixes.
+const CACHE_CAPACITY: usize = 64;
 
-/// A request in the engine.
+/// A request on an engine.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// The request's number.
+    /// Number of the request.
     pub request: usize,
-    /// Lower is sooner.
+    /// Priority in the queue; lower values run first.
     pub priority: u8,
-    /// Prompt tokens still to be processed.
+    /// Tokens left to prefill.
     pub prefill: u32,
-    /// Tokens produced in all.
+    /// Output tokens generated so far, including earlier attempts if it was resumed.
     pub produced: u32,
-    /// Tokens of the whole answer.
+    /// Output tokens of the complete response.
     pub total: u32,
 }
 
-/// What a step brought.
+/// Result of a step.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// Requests that produced a token.
+    /// Requests for which a token was generated.
     pub produced: Vec<usize>,
-    /// Requests that ended.
+    /// Requests that are complete.
     pub finished: Vec<usize>,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Most sequences in a batch.
+    /// Maximum number of sequences in a batch.
     pub batch_limit: usize,
     /// Duration of a step with an empty batch.
     pub step: Micros,
-    /// Factor on the duration of a step.
+    /// Factor by which the duration of a step is multiplied.
     pub slow: f64,
-    /// Whether it crashed.
+    /// Whether it has crashed.
     pub down: bool,
     batch: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
+    /// Cached prefixes, each with the value of `uses` at its last use.
     cache: HashMap<u64, u64>,
     uses: u64,
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(batch_limit: usize, step: Micros) -> Self {
         Engine {
             batch_limit,
@@ -66,12 +67,12 @@
         }
     }
 
-    /// Sequences in the batch.
+    /// Number of sequences in the batch.
     pub fn running(&self) -> usize {
         self.batch.len()
     }
 
-    /// Sequences waiting for the batch.
+    /// Number of sequences waiting to join the batch.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -81,15 +82,15 @@
         self.batch.is_empty() && self.waiting.is_empty()
     }
 
-    /// Takes a request. What it has of the prompt's prefix in its cache is not processed again.
+    /// Enqueues a request. If `prefix` is cached, its `shared` tokens are not prefilled again.
     pub fn push(&mut self, mut sequence: Sequence, prefix: u64, shared: u32) {
         self.uses += 1;
         if prefix != 0 {
-            let held = self.cache.insert(prefix, self.uses).is_some();
-            if held {
+            let cached = self.cache.insert(prefix, self.uses).is_some();
+            if cached {
                 sequence.prefill = sequence.prefill.saturating_sub(shared).max(1);
             }
-            if self.cache.len() > CACHE {
+            if self.cache.len() > CACHE_CAPACITY {
                 let oldest = self.cache.iter().min_by_key(|(_, used)| **used);
                 let oldest = *oldest.expect("the cache is not empty").0;
                 self.cache.remove(&oldest);
@@ -99,7 +100,7 @@
         self.waiting.insert(later.unwrap_or(self.waiting.len()), sequence);
     }
 
-    /// Drops a request. Returns whether it was here.
+    /// Removes a request. Returns whether it was on this engine.
     pub fn cancel(&mut self, request: usize) -> bool {
         let before = self.batch.len() + self.waiting.len();
         self.batch.retain(|sequence| sequence.request != request);
@@ -107,24 +108,24 @@
         self.batch.len() + self.waiting.len() < before
     }
 
-    /// Crashes and returns the requests it had.
+    /// Crashes the engine and returns the requests that were on it.
     pub fn crash(&mut self) -> Vec<usize> {
         self.down = true;
         let all = self.batch.drain(..).chain(self.waiting.drain(..));
         all.map(|sequence| sequence.request).collect()
     }
 
-    /// Fills the batch and says how long the next step lasts.
+    /// Fills the batch and returns the duration of the next step.
     pub fn begin_step(&mut self) -> Micros {
         while self.batch.len() < self.batch_limit {
             let Some(sequence) = self.waiting.pop_front() else { break };
             self.batch.push(sequence);
         }
-        let filled = self.batch.len() as f64 / self.batch_limit as f64;
-        (self.step as f64 * (1.0 + 0.5 * filled) * self.slow) as Micros
+        let occupancy = self.batch.len() as f64 / self.batch_limit as f64;
+        (self.step as f64 * (1.0 + 0.5 * occupancy) * self.slow) as Micros
     }
 
-    /// Ends a step.
+    /// Ends a step and returns its result.
     pub fn end_step(&mut self) -> Step {
         let mut step = Step::default();
         self.batch.retain_mut(|sequence| {
--- a/crates/drumusher-bench/src/policy/mod.rs
+++ b/crates/drumusher-bench/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! The decisions measured in virtual time against baselines. Fixed seeds and no clock: the same
-//! figures on every run and every machine.
+//! Comparison of the scheduling decisions with baselines in virtual time. Random seeds are fixed and no clock is read,
+//! so that the results are the same on every run and every machine.
 
 pub mod baseline;
 pub mod engine;
@@ -9,16 +9,16 @@
 
 use drumusher_schedule::{event::Event, order::Order, policy::Switches, pool::Pool, time::Micros};
 
-/// Whatever decides for one pool.
-pub trait Decide {
-    /// Takes an event and appends the orders that follow from it.
+/// A scheduler of one pool.
+pub trait Scheduler {
+    /// Handles an event and appends the resulting orders.
     fn handle(&mut self, now: Micros, event: Event, orders: &mut Vec<Order>);
 
-    /// Whether a lower tier waits, or runs outside reserved capacity.
+    /// Whether a request of a tier lower than `tier` waits, or runs outside reserved capacity.
     fn lower_may_yield(&self, tier: u8) -> bool;
 }
 
-impl Decide for Pool {
+impl Scheduler for Pool {
     fn handle(&mut self, now: Micros, event: Event, orders: &mut Vec<Order>) {
         Pool::handle(self, now, event, orders);
     }
@@ -28,21 +28,21 @@
     }
 }
 
-/// What decides in a run.
+/// Which scheduler a run uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decider {
-    /// This project's decisions, with some mechanisms perhaps switched off.
+    /// The scheduler of this project, possibly with some mechanisms switched off.
     Drumusher(Switches),
-    /// Each instance alone: the less loaded of two by lagging reports, first come first served.
+    /// No shared queue: each request goes to the less loaded of two random backend servers, by delayed load reports.
     TwoChoices,
-    /// One queue for the pool, first come first served.
+    /// One queue for the pool, first in, first out.
     Fifo,
-    /// One queue for the pool, higher tiers first, no deadlines and no fairness.
+    /// One queue for the pool with strict priority of higher tiers, without deadlines or fairness.
     Strict,
 }
 
 impl Decider {
-    /// Its name in tables.
+    /// Name in tables.
     pub fn name(self) -> String {
         match self {
             Decider::Drumusher(switches) => {
@@ -55,16 +55,16 @@
         }
     }
 
-    /// The project's decisions and all baselines.
+    /// The scheduler of this project and all baselines.
     pub fn all() -> [Decider; 4] {
-        let whole = Decider::Drumusher(Switches::default());
-        [whole, Decider::TwoChoices, Decider::Fifo, Decider::Strict]
+        let unmodified = Decider::Drumusher(Switches::default());
+        [unmodified, Decider::TwoChoices, Decider::Fifo, Decider::Strict]
     }
 
-    /// The project's decisions, each time with one mechanism switched off.
+    /// The scheduler of this project with one mechanism switched off at a time.
     pub fn ablations() -> Vec<Decider> {
         let on = Switches::default();
-        let switched = [
+        let ablated = [
             Switches { tiers: false, ..on },
             Switches { fairness: false, ..on },
             Switches { deadlines: false, ..on },
@@ -74,10 +74,11 @@
             Switches { shedding: false, ..on },
             Switches { floor: false, ..on },
         ];
-        switched.into_iter().map(Decider::Drumusher).collect()
+        ablated.into_iter().map(Decider::Drumusher).collect()
     }
 }
 
+/// Names the mechanisms that are switched off, separated by commas.
 fn switched_off(switches: Switches) -> String {
     let names = [
         (switches.tiers, "tiers"),
--- a/crates/drumusher-bench/src/policy/report.rs
+++ b/crates/drumusher-bench/src/policy/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, tables, and the bounds that CI checks.
+//! Metrics of a run, whose bounds the tests check, and tables of them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,101 +14,102 @@
 use super::{
     Decider,
     scenario::{Scenario, classes},
-    simulation::{self, Result},
+    simulation::{self, RunResult},
 };
 
-/// The seed of the published figures.
+/// Random seed of all measurements, also of the published results.
 pub const SEED: u64 = 20_261_202;
 
-/// The figures of one run.
+/// Metrics of one run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figures {
-    /// The scenario.
+pub struct Metrics {
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// What decided.
+    /// Name of the scheduler.
     pub decider: String,
-    /// Requests that met their class target, of a hundred, by class.
+    /// Percentage of requests that met the targets of their class, by class.
     pub attainment: BTreeMap<String, f64>,
-    /// Requests completed within target each second.
+    /// Requests per second that were completed within the targets of their class.
     pub goodput: f64,
-    /// Goodput of a clairvoyant that serves tiers in order.
+    /// Goodput of a clairvoyant scheduler that serves tiers in order.
     pub best: f64,
-    /// Engine work whose outcome nobody got, of a hundred.
+    /// Percentage of engine work whose output was not delivered.
     pub wasted: f64,
-    /// The longest time to the first token of a served request of the lowest class, in seconds.
+    /// Longest time to first token of a served request of the lowest class, in seconds.
     pub worst_wait: f64,
-    /// Requests within target, of a hundred, of workspaces that ask for less than an equal part of their
-    /// class.
+    /// Percentage of requests within target among workspaces whose demand is below an equal share of what their class
+    /// was served; `None` if there are no such workspaces.
     pub modest: Option<f64>,
     /// Jain's index of served tokens against the max-min fair shares of the workspaces, in the
     /// class where it is lowest.
     pub jain: f64,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: usize,
-    /// Refusals of a higher tier while a lower one could have made room.
+    /// Number of refusals of a higher tier while a lower one could have yielded capacity.
     pub inversions: u32,
-    /// Attempts stopped for a higher tier.
+    /// Number of attempts preempted for a higher tier.
     pub preemptions: u32,
 }
 
-/// Runs a scenario and works out its figures.
-pub fn measure(scenario: &Scenario, decider: Decider) -> Figures {
-    let result = simulation::run(scenario, decider, SEED);
+/// Runs a scenario with a scheduler and computes the metrics.
+pub fn measure(scenario: &Scenario, decider: Decider) -> Metrics {
+    let run = simulation::run(scenario, decider, SEED);
     let classes = classes();
     let mut attainment = BTreeMap::new();
     for (number, class) in classes.iter().enumerate() {
-        attainment.insert(class.name.clone(), attained_of(&result, number, class));
+        attainment.insert(class.name.clone(), attained_of(&run, number, class));
     }
-    let seconds = scenario.lasts as f64 / SECOND as f64;
-    let met = (0..result.requests.len()).filter(|number| met(&result, *number, &classes));
-    Figures {
+    let seconds = scenario.duration as f64 / SECOND as f64;
+    let met = (0..run.requests.len()).filter(|number| met(&run, *number, &classes));
+    Metrics {
         scenario: scenario.name,
         decider: decider.name(),
         attainment,
         goodput: met.count() as f64 / seconds,
-        best: best(scenario, &result) / seconds,
-        wasted: 100.0 * result.wasted as f64 / result.work.max(1) as f64,
-        worst_wait: worst_wait(&result, classes.len() - 1),
-        modest: modest(&result),
-        jain: jain(&result),
-        refused: result.fates.iter().filter(|fate| fate.refused.is_some()).count(),
-        inversions: result.inversions,
-        preemptions: result.preemptions,
+        best: best(scenario, &run) / seconds,
+        wasted: 100.0 * run.wasted as f64 / run.work.max(1) as f64,
+        worst_wait: worst_wait(&run, classes.len() - 1),
+        modest: modest(&run),
+        jain: jain(&run),
+        refused: run.results.iter().filter(|result| result.refused.is_some()).count(),
+        inversions: run.inversions,
+        preemptions: run.preemptions,
     }
 }
 
-fn met(result: &Result, number: usize, classes: &[Class]) -> bool {
-    let (request, fate) = (&result.requests[number], &result.fates[number]);
+/// Whether a request was completed within the targets of its class for time to first token and token gap.
+fn met(run: &RunResult, number: usize, classes: &[Class]) -> bool {
+    let (request, result) = (&run.requests[number], &run.results[number]);
     let class = &classes[usize::from(request.class.0)];
-    let (Some(first), Some(done)) = (fate.first, fate.done) else {
+    let (Some(first), Some(done)) = (result.first, result.done) else {
         return false;
     };
     let gap = (done - first) / u64::from(request.tokens.max(2) - 1);
     first - request.arrives <= class.first_token && gap <= class.token_gap
 }
 
-fn attained_of(result: &Result, number: usize, class: &Class) -> f64 {
+fn attained_of(run: &RunResult, number: usize, class: &Class) -> f64 {
     let classes = classes();
-    let of_class = |at: &usize| usize::from(result.requests[*at].class.0) == number;
-    let all: Vec<usize> = (0..result.requests.len()).filter(of_class).collect();
-    let met = all.iter().filter(|at| met(result, **at, &classes)).count();
+    let of_class = |at: &usize| usize::from(run.requests[*at].class.0) == number;
+    let all: Vec<usize> = (0..run.requests.len()).filter(of_class).collect();
+    let met = all.iter().filter(|at| met(run, **at, &classes)).count();
     debug_assert_eq!(classes[number], *class);
     100.0 * met as f64 / all.len().max(1) as f64
 }
 
-/// Time between two looks of the clairvoyant bound.
-const LOOK: Micros = SECOND / 50;
+/// Time step of the clairvoyant bound.
+const BOUND_STEP: Micros = SECOND / 50;
 
-/// Requests that a clairvoyant would complete within target: it knows every length, starts the
-/// shortest of the highest tier first, loses nothing to batching and drops what is late.
-fn best(scenario: &Scenario, result: &Result) -> f64 {
+/// Number of requests that a clairvoyant scheduler would complete within target. It knows every length, starts the
+/// shortest request of the highest tier first, has no batching overhead and drops late requests.
+fn best(scenario: &Scenario, run: &RunResult) -> f64 {
     let classes = classes();
-    let mut arriving = result.requests.iter().peekable();
+    let mut arriving = run.requests.iter().peekable();
     let mut open: BTreeSet<(u16, u32, Micros, u32)> = BTreeSet::new();
     let (mut now, mut left, mut count, mut number) = (0, 0.0, 0.0, 0);
-    let each = scenario.capacity() * LOOK as f64 / SECOND as f64;
+    let each = scenario.capacity() * BOUND_STEP as f64 / SECOND as f64;
     while arriving.peek().is_some() || !open.is_empty() {
-        now += LOOK;
+        now += BOUND_STEP;
         left = each + f64::min(left, 0.0);
         while let Some(request) = arriving.next_if(|request| request.arrives <= now) {
             let class = request.class.0;
@@ -126,83 +127,85 @@
     count
 }
 
-fn worst_wait(result: &Result, class: usize) -> f64 {
-    let fates = result.requests.iter().zip(&result.fates);
-    let waits = fates.filter(|(request, _)| usize::from(request.class.0) == class);
-    let waits = waits.filter_map(|(request, fate)| Some(fate.first? - request.arrives));
+fn worst_wait(run: &RunResult, class: usize) -> f64 {
+    let results = run.requests.iter().zip(&run.results);
+    let waits = results.filter(|(request, _)| usize::from(request.class.0) == class);
+    let waits = waits.filter_map(|(request, result)| Some(result.first? - request.arrives));
     waits.max().unwrap_or(Micros::MAX) as f64 / SECOND as f64
 }
 
-/// Tokens of one class that each workspace asked for and got while requests arrived.
-fn by_workspace(result: &Result, class: usize) -> (BTreeMap<u16, f64>, BTreeMap<u16, f64>) {
+/// Tokens of one class by workspace: demanded, and delivered while requests still arrived.
+fn by_workspace(run: &RunResult, class: usize) -> (BTreeMap<u16, f64>, BTreeMap<u16, f64>) {
     let (mut demand, mut served) = (BTreeMap::new(), BTreeMap::new());
-    for (request, fate) in result.requests.iter().zip(&result.fates) {
+    for (request, result) in run.requests.iter().zip(&run.results) {
         if usize::from(request.class.0) != class {
             continue;
         }
         *demand.entry(request.workspace.0).or_default() += f64::from(request.tokens);
-        *served.entry(request.workspace.0).or_default() += f64::from(fate.in_time);
+        *served.entry(request.workspace.0).or_default() += f64::from(result.in_time);
     }
     (demand, served)
 }
 
-/// Jain's index of what each workspace got against its max-min fair share of what its class was
-/// served; that of the class with the lowest.
-fn jain(result: &Result) -> f64 {
-    let indices = (0..classes().len()).map(|class| jain_of(result, class));
+/// Jain's fairness index of the tokens served to each workspace relative to its max-min fair share of what its class
+/// was served, in the class where the index is lowest.
+fn jain(run: &RunResult) -> f64 {
+    let indices = (0..classes().len()).map(|class| jain_of(run, class));
     indices.fold(1.0, f64::min)
 }
 
-fn jain_of(result: &Result, class: usize) -> f64 {
-    let (demand, served) = by_workspace(result, class);
+fn jain_of(run: &RunResult, class: usize) -> f64 {
+    let (demand, served) = by_workspace(run, class);
     let fair = max_min(&demand, served.values().sum());
-    let parts = demand.keys().map(|workspace| served[workspace] / fair[workspace].max(1.0));
-    let parts: Vec<f64> = parts.collect();
-    let (sum, squares): (f64, f64) =
-        parts.iter().fold((0.0, 0.0), |(sum, squares), part| (sum + part, squares + part * part));
-    sum * sum / (parts.len() as f64 * squares.max(f64::MIN_POSITIVE))
+    let shares = demand.keys().map(|workspace| served[workspace] / fair[workspace].max(1.0));
+    let shares: Vec<f64> = shares.collect();
+    let (sum, squares): (f64, f64) = shares
+        .iter()
+        .fold((0.0, 0.0), |(sum, squares), share| (sum + share, squares + share * share));
+    sum * sum / (shares.len() as f64 * squares.max(f64::MIN_POSITIVE))
 }
 
-/// Requests within target of workspaces that asked for no more than nine tenths of an equal part
-/// of what their class was served; `None` if there are none.
-fn modest(result: &Result) -> Option<f64> {
+/// Percentage of requests within target among workspaces that demanded no more than nine tenths of an equal share of
+/// what their class was served; `None` if there are none.
+fn modest(run: &RunResult) -> Option<f64> {
     let classes = classes();
     let (mut all, mut met) = (0, 0);
     for class in 0..classes.len() {
-        let (demand, served) = by_workspace(result, class);
-        let part = served.values().sum::<f64>() / demand.len().max(1) as f64;
-        for number in 0..result.requests.len() {
-            let request = &result.requests[number];
+        let (demand, served) = by_workspace(run, class);
+        let equal_share = served.values().sum::<f64>() / demand.len().max(1) as f64;
+        for number in 0..run.requests.len() {
+            let request = &run.requests[number];
             let of_class = usize::from(request.class.0) == class;
-            if of_class && demand[&request.workspace.0] <= 0.9 * part {
+            if of_class && demand[&request.workspace.0] <= 0.9 * equal_share {
                 all += 1;
-                met += usize::from(self::met(result, number, &classes));
+                met += usize::from(self::met(run, number, &classes));
             }
         }
     }
     (all > 0).then(|| 100.0 * met as f64 / f64::from(all))
 }
 
+/// Distributes `total` over the workspaces by max-min fairness.
 fn max_min(demand: &BTreeMap<u16, f64>, total: f64) -> BTreeMap<u16, f64> {
     let mut sorted: Vec<(u16, f64)> = demand.iter().map(|(key, tokens)| (*key, *tokens)).collect();
     sorted.sort_by(|a, b| a.1.total_cmp(&b.1));
-    let (mut left, mut fair) = (total, BTreeMap::new());
-    for (at, (key, wanted)) in sorted.iter().enumerate() {
-        let share = (left / (sorted.len() - at) as f64).min(*wanted);
+    let (mut remaining, mut fair) = (total, BTreeMap::new());
+    for (at, (key, demand)) in sorted.iter().enumerate() {
+        let share = (remaining / (sorted.len() - at) as f64).min(*demand);
         fair.insert(*key, share);
-        left -= share;
+        remaining -= share;
     }
     fair
 }
 
-/// The figures as a table in Markdown.
-pub fn table(figures: &[Figures]) -> String {
+/// Formats metrics as a table in Markdown.
+pub fn table(metrics: &[Metrics]) -> String {
     let mut text = String::from(
         "| scenario | decider | pickup % | ruling % | summary % | bulk % | goodput/s | best/s | \
          wasted % | worst bulk wait s | modest % | Jain | refused | inversions | preemptions |\n\
          |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n",
     );
-    for f in figures {
+    for f in metrics {
         let of = |class: &str| f.attainment.get(class).copied().unwrap_or(0.0);
         let _ = writeln!(
             text,
--- a/crates/drumusher-bench/src/policy/scenario.rs
+++ b/crates/drumusher-bench/src/policy/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in a run: who asks for what and when, and what fails.
+//! Scenarios: the requests that arrive in a run and the faults that occur.
 
 use drumusher_schedule::{
     policy::{Class, ClassKey, Policy, Workspace, WorkspaceKey},
@@ -10,75 +10,75 @@
 /// One request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When it arrives at its entry.
+    /// Time of arrival at its entry.
     pub arrives: Micros,
-    /// Its class.
+    /// Class.
     pub class: ClassKey,
-    /// Its workspace.
+    /// Workspace.
     pub workspace: WorkspaceKey,
-    /// Its entry.
+    /// Instance that receives the request.
     pub entry: u32,
     /// Prompt tokens.
     pub prompt: u32,
-    /// Output tokens, which nobody knows before the end.
+    /// Output tokens. The scheduler doesn't know their number in advance.
     pub tokens: u32,
-    /// The prefix it shares with others; 0 for none.
+    /// Prompt prefix that the request shares with others; 0 for none.
     pub prefix: u64,
-    /// Prompt tokens of the shared prefix.
+    /// Number of prompt tokens in the shared prefix.
     pub shared: u32,
 }
 
-/// Something that goes wrong.
+/// A fault of an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// An engine's steps last so many times longer; its reports do not say so.
+    /// Multiplies the duration of an engine's steps by a factor. Its load reports don't show this.
     Slow(usize, f64),
-    /// An engine crashes, and the list says so after the given time.
+    /// Crashes an engine. The member list removes it after the given time.
     Crash(usize, Micros),
 }
 
-/// A stream of requests.
+/// A source of requests with Poisson arrivals.
 #[derive(Clone, Debug)]
 struct Source {
     class: u16,
     workspaces: std::ops::Range<u16>,
-    /// Requests a second outside and inside the burst.
+    /// Arrival rate in requests per second, outside and inside the burst.
     rate: (f64, f64),
     prompt: u32,
-    /// Median and spread (sigma of the logarithm) of output tokens.
+    /// Log-normal distribution of output tokens: median, and standard deviation of the logarithm.
     tokens: (f64, f64),
-    /// How many different prefixes; 0 for none.
+    /// Number of distinct prompt prefixes; 0 for none.
     prefixes: u64,
 }
 
-/// A run.
+/// The conditions of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name in tables.
+    /// Name in tables.
     pub name: &'static str,
-    /// Instances.
+    /// Number of instances.
     pub instances: u32,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Duration of arrivals.
-    pub lasts: Micros,
-    /// Age of load reports.
+    /// Time during which requests arrive.
+    pub duration: Micros,
+    /// Delay of load reports.
     pub lag: Micros,
-    /// What goes wrong, and when.
+    /// Faults, each with its time.
     pub faults: Vec<(Micros, Fault)>,
-    /// Whether the highest tier's own demand fits capacity.
+    /// Whether the demand of the highest tier alone fits the capacity.
     pub top_fits: bool,
     burst: std::ops::Range<Micros>,
     workspaces: u16,
     sources: Vec<Source>,
 }
 
-/// Sequences in an engine's batch.
+/// Maximum number of sequences in an engine's batch.
 pub const BATCH: usize = 32;
 /// Duration of an engine's step with an empty batch.
 pub const STEP: Micros = 4 * MILLISECOND;
 
-/// The classes of all scenarios, highest tier first.
+/// Classes of all scenarios, highest tier first.
 pub fn classes() -> Vec<Class> {
     let ms = MILLISECOND;
     vec![
@@ -98,7 +98,7 @@
             name,
             instances: 9,
             engines: 8,
-            lasts: 20 * SECOND,
+            duration: 20 * SECOND,
             lag: 250 * MILLISECOND,
             faults: Vec::new(),
             top_fits: true,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The policy of the run.
+    /// Scheduling policy of the run.
     pub fn policy(&self) -> Policy {
         let names = 0..self.workspaces;
         let workspaces = names.map(|number| Workspace::new(format!("w{number}"))).collect();
@@ -117,13 +117,13 @@
         policy
     }
 
-    /// Tokens a second that all engines produce with full batches.
+    /// Tokens per second that all engines together generate with full batches.
     pub fn capacity(&self) -> f64 {
         let step = STEP as f64 * 1.5 / SECOND as f64;
         self.engines as f64 * BATCH as f64 / step
     }
 
-    /// All requests in order of arrival.
+    /// Generates all requests in order of arrival.
     pub fn requests(&self, seed: u64) -> Vec<Request> {
         let mut random = StdRng::seed_from_u64(seed);
         let mut requests = Vec::new();
@@ -134,17 +134,18 @@
         requests
     }
 
+    /// Generates the requests of one source.
     fn arrivals(&self, source: &Source, random: &mut StdRng, requests: &mut Vec<Request>) {
         let lengths = LogNormal::new(source.tokens.0.ln(), source.tokens.1).expect("valid");
         let mut now = 0;
-        while now < self.lasts {
+        while now < self.duration {
             let rate = if self.burst.contains(&now) { source.rate.1 } else { source.rate.0 };
             if rate == 0.0 {
-                now = if now < self.burst.start { self.burst.start } else { self.lasts };
+                now = if now < self.burst.start { self.burst.start } else { self.duration };
                 continue;
             }
-            let pause = Exp::new(rate).expect("valid").sample(random);
-            now += (pause * SECOND as f64) as Micros;
+            let interval = Exp::new(rate).expect("valid").sample(random);
+            now += (interval * SECOND as f64) as Micros;
             let prefix = match source.prefixes {
                 0 => 0,
                 count => 1 + random.random_range(0..count) + u64::from(source.class) * 1_000,
@@ -163,7 +164,7 @@
     }
 }
 
-/// A mix that uses about 75% of eight engines at `load` 1, of all four classes.
+/// Requests of all four classes that use about 75% of the capacity of eight engines at `load` 1.
 fn mix(load: f64) -> Vec<Source> {
     let source = |class, rate: f64, prompt, tokens| {
         let rate = (rate * load, rate * load);
@@ -177,13 +178,14 @@
     ]
 }
 
+/// The mix at load 1, in which the rate of one class rises by `factor` during the burst.
 fn bursting(class: usize, factor: f64) -> Vec<Source> {
     let mut sources = mix(1.0);
     sources[class].rate.1 *= factor;
     sources
 }
 
-/// All scenarios.
+/// Returns all scenarios.
 pub fn all() -> Vec<Scenario> {
     let base = Scenario::new;
     let crash = (7 * SECOND, Fault::Crash(2, 3 * SECOND));
@@ -226,7 +228,7 @@
             instances: 360,
             engines: 96,
             workspaces: 770,
-            lasts: 8 * SECOND,
+            duration: 8 * SECOND,
             burst: 2 * SECOND..6 * SECOND,
             sources: large,
             ..base("360 instances")
--- a/crates/drumusher-bench/src/policy/simulation.rs
+++ b/crates/drumusher-bench/src/policy/simulation.rs
@@ -1,4 +1,4 @@
-//! One run in virtual time.
+//! Discrete-event simulation of one run in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -17,61 +17,61 @@
 };
 
 use super::{
-    Decide, Decider,
+    Decider, Scheduler,
     baseline::{Queue, TwoChoices},
     engine::{Engine, Sequence},
     scenario::{BATCH, Fault, Request, STEP, Scenario},
 };
 
-/// One way between an entry, a dispatcher or an engine.
+/// One-way network latency between an entry, a dispatcher and an engine.
 const HOP: Micros = MILLISECOND / 2;
-/// Time between two batches of reports: an attempt's first token is in the next one…
-const REPORTS: Micros = 50 * MILLISECOND;
-/// …and then it is reported on every so often, and with its end.
-const REPORT_EVERY: Micros = 500 * MILLISECOND;
-/// Time between two load reports.
-const LOADS: Micros = 250 * MILLISECOND;
-/// How long after the last arrival a run goes on.
-const AFTER: Micros = 40 * SECOND;
+/// Interval between batches of progress reports. An attempt is included once its first token has come.
+const REPORT_BATCH_INTERVAL: Micros = 50 * MILLISECOND;
+/// Interval at which an attempt is included again. It is also reported when it ends.
+const REPORT_INTERVAL: Micros = 500 * MILLISECOND;
+/// Interval between load reports.
+const LOAD_INTERVAL: Micros = 250 * MILLISECOND;
+/// Time for which a run continues after arrivals end.
+const DRAIN: Micros = 40 * SECOND;
 
-/// What became of a request.
+/// RunResult of a request.
 #[derive(Clone, Debug, Default)]
-pub struct Fate {
-    /// When its first token came.
+pub struct RequestResult {
+    /// Time of its first token.
     pub first: Option<Micros>,
-    /// When its last token came.
+    /// Time of its last token.
     pub done: Option<Micros>,
-    /// Whether and when it was refused.
+    /// Time at which it was refused.
     pub refused: Option<Micros>,
-    /// Whether the caller gave up.
+    /// Whether the client stopped waiting for the first token.
     pub gave_up: bool,
     /// Tokens delivered.
     pub delivered: u32,
     /// Tokens delivered while requests still arrived.
     pub in_time: u32,
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
-/// All that a run brought.
+/// Results of a run.
 #[derive(Clone, Debug)]
-pub struct Result {
-    /// What was asked.
+pub struct RunResult {
+    /// Requests in order of arrival.
     pub requests: Vec<Request>,
-    /// What became of each.
-    pub fates: Vec<Fate>,
-    /// Sequence-steps that engines made.
+    /// Results of the requests, in the same order.
+    pub results: Vec<RequestResult>,
+    /// Number of steps that engines ran, counted once per sequence in the batch.
     pub work: u64,
-    /// Sequence-steps whose outcome nobody got.
+    /// Part of `work` whose output was not delivered.
     pub wasted: u64,
-    /// Refusals of a higher tier while a lower one waited or ran outside reserved capacity.
+    /// Number of refusals of a higher tier while a lower one waited or ran outside reserved capacity.
     pub inversions: u32,
-    /// Attempts stopped for a higher tier.
+    /// Number of attempts preempted for a higher tier.
     pub preemptions: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Action {
     Arrive(usize),
     GiveUp(usize),
     Ask(usize),
@@ -84,25 +84,25 @@
     Reported(u16, Micros, u32, u32),
     Tick,
     Fault(usize),
-    Listed(usize),
+    Delisted(usize),
 }
 
 struct Simulation<'a> {
     scenario: &'a Scenario,
     policy: Policy,
-    decider: Box<dyn Decide>,
+    scheduler: Box<dyn Scheduler>,
     resumes: bool,
     honours_priority: bool,
     now: Micros,
     order: u64,
-    queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, Action)>>,
     engines: Vec<Engine>,
     stepping: Vec<bool>,
     requests: Vec<Request>,
-    fates: Vec<Fate>,
-    /// Where each request runs, and the work of this attempt.
-    runs: HashMap<usize, Run>,
-    /// Number of the current attempt of each request.
+    results: Vec<RequestResult>,
+    /// Running attempts by request.
+    runs: HashMap<usize, Attempt>,
+    /// Number of the current attempt of each request. Events of earlier attempts are ignored.
     attempt: Vec<u32>,
     preempted: Vec<u8>,
     avoid: Vec<Option<server::Key>>,
@@ -113,42 +113,43 @@
     preemptions: u32,
 }
 
-struct Run {
+/// An attempt that runs on an engine.
+struct Attempt {
     engine: usize,
-    handed: Micros,
+    started: Micros,
     work: u64,
     reported_first: bool,
-    last: Micros,
+    last_report: Micros,
     last_produced: u32,
 }
 
-/// Runs a scenario with a decider.
-pub fn run(scenario: &Scenario, decider: Decider, seed: u64) -> Result {
+/// Runs a scenario with a scheduler.
+pub fn run(scenario: &Scenario, decider: Decider, seed: u64) -> RunResult {
     let requests = scenario.requests(seed);
     let mut policy = scenario.policy();
     if let Decider::Drumusher(switches) = decider {
         policy.switches = switches;
     }
-    let decide: Box<dyn Decide> = match decider {
+    let scheduler: Box<dyn Scheduler> = match decider {
         Decider::Drumusher(_) => Box::new(Pool::new(Arc::new(policy.clone()), 0)),
         Decider::TwoChoices => Box::new(TwoChoices::new(seed)),
         Decider::Fifo => Box::new(Queue::new(policy.clone(), false)),
         Decider::Strict => Box::new(Queue::new(policy.clone(), true)),
     };
-    let ours = matches!(decider, Decider::Drumusher(_));
+    let is_drumusher = matches!(decider, Decider::Drumusher(_));
     let count = requests.len();
     let mut simulation = Simulation {
         scenario,
         policy,
-        decider: decide,
-        resumes: ours,
-        honours_priority: ours,
+        scheduler,
+        resumes: is_drumusher,
+        honours_priority: is_drumusher,
         now: 0,
         order: 0,
         queue: BinaryHeap::new(),
         engines: vec![Engine::new(BATCH, STEP); scenario.engines],
         stepping: vec![false; scenario.engines],
-        fates: vec![Fate::default(); count],
+        results: vec![RequestResult::default(); count],
         attempt: vec![0; count],
         preempted: vec![0; count],
         avoid: vec![None; count],
@@ -160,11 +161,11 @@
         inversions: 0,
         preemptions: 0,
     };
-    simulation.begin(ours);
+    simulation.start(is_drumusher);
     simulation.run();
-    Result {
+    RunResult {
         requests: simulation.requests,
-        fates: simulation.fates,
+        results: simulation.results,
         work: simulation.work,
         wasted: simulation.wasted,
         inversions: simulation.inversions,
@@ -173,114 +174,127 @@
 }
 
 impl Simulation<'_> {
-    fn at(&mut self, when: Micros, what: What) {
+    /// Schedules an action at a time. Actions at the same time run in the order in which they were scheduled.
+    fn schedule(&mut self, time: Micros, action: Action) {
         self.order += 1;
-        self.queue.push(Reverse((when, self.order, what)));
+        self.queue.push(Reverse((time, self.order, action)));
     }
 
-    fn begin(&mut self, learns: bool) {
+    /// Registers the engines and schedules arrivals, faults and periodic actions.
+    fn start(&mut self, learns: bool) {
         let slots = if learns { 64 } else { BATCH as u32 };
         for number in 0..self.engines.len() {
             let options = server::Options { slots, ..server::Options::default() };
-            self.tell(Event::Server(server::Key(number as u16), options));
+            self.notify_scheduler(Event::Server(server::Key(number as u16), options));
         }
         for number in 0..self.requests.len() {
-            self.at(self.requests[number].arrives, What::Arrive(number));
+            self.schedule(self.requests[number].arrives, Action::Arrive(number));
         }
         for number in 0..self.scenario.faults.len() {
-            self.at(self.scenario.faults[number].0, What::Fault(number));
+            self.schedule(self.scenario.faults[number].0, Action::Fault(number));
         }
-        self.at(REPORTS, What::Reports);
-        self.at(LOADS, What::Loads);
-        self.at(TICK, What::Tick);
+        self.schedule(REPORT_BATCH_INTERVAL, Action::Reports);
+        self.schedule(LOAD_INTERVAL, Action::Loads);
+        self.schedule(TICK, Action::Tick);
     }
 
     fn run(&mut self) {
-        let end = self.scenario.lasts + AFTER;
-        while let Some(Reverse((when, _, what))) = self.queue.pop() {
-            if when > end {
+        let end = self.scenario.duration + DRAIN;
+        while let Some(Reverse((time, _, action))) = self.queue.pop() {
+            if time > end {
                 return;
             }
-            self.now = when;
-            self.take(what);
+            self.now = time;
+            self.perform(action);
         }
     }
 
-    fn take(&mut self, what: What) {
-        match what {
-            What::Arrive(number) => {
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Arrive(number) => {
                 let class = self.policy.class(self.requests[number].class);
-                self.at(self.now + class.wait, What::GiveUp(number));
-                self.at(self.now + HOP, What::Ask(number));
+                self.schedule(self.now + class.wait, Action::GiveUp(number));
+                self.schedule(self.now + HOP, Action::Ask(number));
             }
-            What::GiveUp(number) => self.give_up(number),
-            What::Ask(number) => self.ask(number),
-            What::Granted(number, server, attempt) => self.granted(number, server, attempt),
-            What::Preempted(number, attempt) => self.stopped(number, attempt),
-            What::StepEnds(engine) => self.step_ends(engine),
-            What::Finished(number, produced, outcome) => {
+            Action::GiveUp(number) => self.give_up(number),
+            Action::Ask(number) => self.ask(number),
+            Action::Granted(number, server, attempt) => self.start_attempt(number, server, attempt),
+            Action::Preempted(number, attempt) => self.preempt(number, attempt),
+            Action::StepEnds(engine) => self.end_step(engine),
+            Action::Finished(number, produced, outcome) => {
                 let outcome = match outcome {
                     0 => Outcome::Done,
                     1 => Outcome::Cancelled,
                     2 => Outcome::Preempted,
                     _ => Outcome::Failed,
                 };
-                self.tell(Event::Finish(number as Id, outcome, produced));
+                self.notify_scheduler(Event::Finish(number as Id, outcome, produced));
             }
-            What::Reports => self.reports(),
-            What::Loads => self.loads(),
-            What::Reported(server, as_of, running, waiting) => {
+            Action::Reports => self.send_reports(),
+            Action::Loads => self.send_loads(),
+            Action::Reported(server, as_of, running, waiting) => {
                 let server = server::Key(server);
-                self.tell(Event::Load(Load { server, as_of, running, waiting, full: None }));
+                self.notify_scheduler(Event::Load(Load {
+                    server,
+                    as_of,
+                    running,
+                    waiting,
+                    full: None,
+                }));
             }
-            What::Tick => {
-                self.tell(Event::Tick);
-                self.at(self.now + TICK, What::Tick);
+            Action::Tick => {
+                self.notify_scheduler(Event::Tick);
+                self.schedule(self.now + TICK, Action::Tick);
+            }
+            Action::Fault(number) => self.inject_fault(number),
+            Action::Delisted(engine) => {
+                self.notify_scheduler(Event::Leave(server::Key(engine as u16)))
             }
-            What::Fault(number) => self.fault(number),
-            What::Listed(engine) => self.tell(Event::Leave(server::Key(engine as u16))),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    /// Passes an event to the scheduler and executes the resulting orders.
+    fn notify_scheduler(&mut self, event: Event) {
         let mut orders = std::mem::take(&mut self.orders);
-        self.decider.handle(self.now, event, &mut orders);
+        self.scheduler.handle(self.now, event, &mut orders);
         for order in orders.drain(..) {
-            self.carry_out(order);
+            self.execute(order);
         }
         self.orders = orders;
     }
 
-    fn carry_out(&mut self, order: Order) {
+    fn execute(&mut self, order: Order) {
         match order {
             Order::Grant { id, server, .. } => {
                 let number = id as usize;
                 let attempt = self.attempt[number];
-                self.at(self.now + 2 * HOP, What::Granted(number, server.0, attempt));
+                self.schedule(self.now + 2 * HOP, Action::Granted(number, server.0, attempt));
             }
             Order::Refuse { id, refusal, .. } => {
                 let number = id as usize;
                 let tier = self.policy.class(self.requests[number].class).tier;
                 let own = refusal == Refusal::WorkspaceLimit || refusal == Refusal::NoServer;
-                if !own && self.decider.lower_may_yield(tier) {
+                if !own && self.scheduler.lower_may_yield(tier) {
                     self.inversions += 1;
                 }
-                self.fates[number].refused = Some(self.now + HOP);
+                self.results[number].refused = Some(self.now + HOP);
             }
             Order::Preempt { id, .. } => {
                 self.preemptions += 1;
                 let number = id as usize;
                 let attempt = self.attempt[number];
-                self.at(self.now + HOP, What::Preempted(number, attempt));
+                self.schedule(self.now + HOP, Action::Preempted(number, attempt));
             }
         }
     }
 
+    /// Whether a request was completed, refused or given up.
     fn ended(&self, number: usize) -> bool {
-        let fate = &self.fates[number];
-        fate.done.is_some() || fate.refused.is_some() || fate.gave_up
+        let result = &self.results[number];
+        result.done.is_some() || result.refused.is_some() || result.gave_up
     }
 
+    /// Passes a request to the scheduler, unless it has ended.
     fn ask(&mut self, number: usize) {
         if self.ended(number) {
             return;
@@ -294,7 +308,7 @@
             arrived: request.arrives,
             prompt: request.prompt,
             prefix: request.prefix,
-            produced: if self.resumes { self.fates[number].delivered } else { 0 },
+            produced: if self.resumes { self.results[number].delivered } else { 0 },
             repeatable: true,
             preemptions: self.preempted[number],
             avoid: self.avoid[number],
@@ -303,22 +317,23 @@
             output: 0,
             parts: Vec::new(),
         };
-        self.tell(Event::Ask(ask));
+        self.notify_scheduler(Event::Ask(ask));
     }
 
-    fn granted(&mut self, number: usize, server: u16, attempt: u32) {
+    /// Starts an attempt on the granted backend server, unless the grant is obsolete.
+    fn start_attempt(&mut self, number: usize, server: u16, attempt: u32) {
         if self.ended(number) || self.attempt[number] != attempt {
-            self.at(self.now + HOP, What::Finished(number, 0, 1));
+            self.schedule(self.now + HOP, Action::Finished(number, 0, 1));
             return;
         }
         let engine = usize::from(server);
-        self.fates[number].attempts += 1;
+        self.results[number].attempts += 1;
         if self.engines[engine].down {
-            self.failed(number, engine);
+            self.fail(number, engine);
             return;
         }
         let request = &self.requests[number];
-        let produced = if self.resumes { self.fates[number].delivered } else { 0 };
+        let produced = if self.resumes { self.results[number].delivered } else { 0 };
         let tier = self.policy.class(request.class).tier;
         let sequence = Sequence {
             request: number,
@@ -329,36 +344,38 @@
         };
         let (prefix, shared) = (request.prefix, request.shared);
         self.engines[engine].push(sequence, prefix, shared);
-        let run = Run {
+        let run = Attempt {
             engine,
-            handed: self.now,
+            started: self.now,
             work: 0,
             reported_first: false,
-            last: self.now,
+            last_report: self.now,
             last_produced: produced,
         };
         self.runs.insert(number, run);
-        self.step(engine);
+        self.begin_step(engine);
     }
 
-    fn step(&mut self, engine: usize) {
+    /// Begins a step of an engine that is neither idle nor in a step.
+    fn begin_step(&mut self, engine: usize) {
         if self.stepping[engine] || self.engines[engine].idle() {
             return;
         }
-        let lasts = self.engines[engine].begin_step();
+        let duration = self.engines[engine].begin_step();
         self.stepping[engine] = true;
-        self.at(self.now + lasts, What::StepEnds(engine));
+        self.schedule(self.now + duration, Action::StepEnds(engine));
     }
 
-    fn step_ends(&mut self, engine: usize) {
+    /// Ends a step: records the generated tokens and the completed requests, and begins the next step.
+    fn end_step(&mut self, engine: usize) {
         self.stepping[engine] = false;
         self.work += self.engines[engine].running() as u64;
         let step = self.engines[engine].end_step();
         for number in &step.produced {
-            let fate = &mut self.fates[*number];
-            fate.delivered += 1;
-            fate.in_time += u32::from(self.now < self.scenario.lasts);
-            fate.first.get_or_insert(self.now + 2 * HOP);
+            let result = &mut self.results[*number];
+            result.delivered += 1;
+            result.in_time += u32::from(self.now < self.scenario.duration);
+            result.first.get_or_insert(self.now + 2 * HOP);
             if let Some(run) = self.runs.get_mut(number) {
                 run.work += 1;
             }
@@ -366,27 +383,28 @@
         for number in step.finished {
             self.report(number);
             self.runs.remove(&number);
-            self.fates[number].done = Some(self.now + 2 * HOP);
+            self.results[number].done = Some(self.now + 2 * HOP);
             let tokens = self.requests[number].tokens;
-            self.at(self.now + 2 * HOP, What::Finished(number, tokens, 0));
+            self.schedule(self.now + 2 * HOP, Action::Finished(number, tokens, 0));
         }
-        self.step(engine);
+        self.begin_step(engine);
     }
 
-    /// The caller does not wait longer for its first token.
+    /// Cancels a request whose client no longer waits for its first token.
     fn give_up(&mut self, number: usize) {
-        if self.ended(number) || self.fates[number].first.is_some() {
+        if self.ended(number) || self.results[number].first.is_some() {
             return;
         }
-        self.fates[number].gave_up = true;
+        self.results[number].gave_up = true;
         if let Some(run) = self.runs.remove(&number) {
             self.engines[run.engine].cancel(number);
             self.wasted += run.work;
         }
-        self.tell(Event::Withdraw(number as Id));
+        self.notify_scheduler(Event::Withdraw(number as Id));
     }
 
-    fn stopped(&mut self, number: usize, attempt: u32) {
+    /// Stops an attempt that the scheduler has preempted, and retries the request.
+    fn preempt(&mut self, number: usize, attempt: u32) {
         if self.ended(number) || self.attempt[number] != attempt {
             return;
         }
@@ -395,60 +413,66 @@
         };
         self.engines[run.engine].cancel(number);
         self.preempted[number] += 1;
-        self.again(number, 2);
+        self.retry(number, 2);
     }
 
-    fn failed(&mut self, number: usize, engine: usize) {
+    /// Retries a request whose attempt failed on a crashed engine, which the retry avoids.
+    fn fail(&mut self, number: usize, engine: usize) {
         self.avoid[number] = Some(server::Key(engine as u16));
-        self.again(number, 3);
+        self.retry(number, 3);
     }
 
-    /// An attempt ended without the whole answer: asks again.
-    fn again(&mut self, number: usize, outcome: u8) {
+    /// Reports an attempt that ended without the complete response, and queues the request again. `outcome` is the
+    /// code that [`Action::Finished`] carries.
+    fn retry(&mut self, number: usize, outcome: u8) {
         self.attempt[number] += 1;
-        let delivered = self.fates[number].delivered;
+        let delivered = self.results[number].delivered;
         if !self.resumes {
             self.wasted += u64::from(delivered);
-            self.fates[number].delivered = 0;
+            self.results[number].delivered = 0;
         }
-        self.at(self.now + HOP, What::Finished(number, delivered, outcome));
-        self.at(self.now + HOP, What::Ask(number));
+        self.schedule(self.now + HOP, Action::Finished(number, delivered, outcome));
+        self.schedule(self.now + HOP, Action::Ask(number));
     }
 
-    fn reports(&mut self) {
-        let due = |(number, run): (&usize, &Run)| {
-            let first = self.fates[*number].first.is_some() && !run.reported_first;
-            (first || self.now >= run.last + REPORT_EVERY).then_some(*number)
+    /// Sends the progress reports that are due.
+    fn send_reports(&mut self) {
+        let due = |(number, run): (&usize, &Attempt)| {
+            let first = self.results[*number].first.is_some() && !run.reported_first;
+            (first || self.now >= run.last_report + REPORT_INTERVAL).then_some(*number)
         };
         let mut due: Vec<usize> = self.runs.iter().filter_map(due).collect();
         due.sort_unstable();
         for number in due {
             self.report(number);
         }
-        self.at(self.now + REPORTS, What::Reports);
+        self.schedule(self.now + REPORT_BATCH_INTERVAL, Action::Reports);
     }
 
-    /// Reports on an attempt: tokens, time to the first one, and their gap since the last report.
+    /// Reports the progress of an attempt: output tokens, time to first token, and mean gap between tokens since the
+    /// last report.
     fn report(&mut self, number: usize) {
-        let produced = self.fates[number].delivered;
-        let first = self.fates[number].first;
+        let produced = self.results[number].delivered;
+        let first = self.results[number].first;
         let Some(run) = self.runs.get_mut(&number) else {
             return;
         };
         let new = u64::from(produced.saturating_sub(run.last_produced));
-        let gap = if new > 0 && run.reported_first { (self.now - run.last) / new } else { 0 };
+        let gap =
+            if new > 0 && run.reported_first { (self.now - run.last_report) / new } else { 0 };
         let first = first.filter(|_| !run.reported_first);
         if first.is_some() || new > 0 {
             run.reported_first = true;
-            run.last = self.now;
+            run.last_report = self.now;
             run.last_produced = produced;
         }
-        let first_token = first.map(|first| first.saturating_sub(run.handed));
+        let first_token = first.map(|first| first.saturating_sub(run.started));
         let id = number as Id;
-        self.tell(Event::Progress(Progress { id, produced, first_token, gap }));
+        self.notify_scheduler(Event::Progress(Progress { id, produced, first_token, gap }));
     }
 
-    fn loads(&mut self) {
+    /// Samples the load of the engines, which the scheduler receives after the scenario's delay.
+    fn send_loads(&mut self) {
         for number in 0..self.engines.len() {
             let engine = &self.engines[number];
             if engine.down {
@@ -456,19 +480,19 @@
             }
             let (running, waiting) = (engine.running() as u32, engine.waiting() as u32);
             let arrives = self.now + self.scenario.lag;
-            self.at(arrives, What::Reported(number as u16, self.now, running, waiting));
+            self.schedule(arrives, Action::Reported(number as u16, self.now, running, waiting));
         }
-        self.at(self.now + LOADS, What::Loads);
+        self.schedule(self.now + LOAD_INTERVAL, Action::Loads);
     }
 
-    fn fault(&mut self, number: usize) {
+    fn inject_fault(&mut self, number: usize) {
         match self.scenario.faults[number].1 {
             Fault::Slow(engine, factor) => self.engines[engine].slow = factor,
             Fault::Crash(engine, listed) => {
-                self.at(self.now + listed, What::Listed(engine));
+                self.schedule(self.now + listed, Action::Delisted(engine));
                 for number in self.engines[engine].crash() {
                     self.runs.remove(&number);
-                    self.failed(number, engine);
+                    self.fail(number, engine);
                 }
             }
         }
--- a/crates/drumusher-bench/tests/bench/policy.rs
+++ b/crates/drumusher-bench/tests/bench/policy.rs
@@ -1,9 +1,9 @@
-//! Regression bounds of the policy benchmark. Virtual time and fixed seeds: the figures are the
+//! Regression bounds of the policy benchmark. Virtual time and fixed seeds: the metrics are the
 //! same on every run, so that a bound that is missed is a change of the decisions.
 
 use drumusher_bench::policy::{
     Decider,
-    report::{Figures, measure},
+    report::{Metrics, measure},
     scenario::{self, Scenario},
 };
 use drumusher_schedule::policy::Switches;
@@ -14,7 +14,7 @@
     scenarios.find(|scenario| scenario.name == name).expect("there is such a scenario")
 }
 
-fn ours(scenario: &Scenario) -> Figures {
+fn ours(scenario: &Scenario) -> Metrics {
     measure(scenario, Decider::Drumusher(Switches::default()))
 }
 
@@ -34,18 +34,18 @@
 #[case("360 instances", 0.99)]
 fn the_decisions_keep_their_bounds(#[case] name: &str, #[case] least: f64) {
     let scenario = named(name);
-    let figures = ours(&scenario);
+    let metrics = ours(&scenario);
     if scenario.top_fits {
-        assert!(figures.attainment["pickup"] >= 99.0, "{figures:?}");
+        assert!(metrics.attainment["pickup"] >= 99.0, "{metrics:?}");
     }
-    assert!(figures.goodput >= least * figures.best, "{figures:?}");
-    assert!(figures.wasted <= 1.0, "{figures:?}");
-    assert_eq!(figures.inversions, 0, "{figures:?}");
-    assert!(figures.worst_wait <= 30.5, "{figures:?}");
-    assert!(figures.modest.is_none_or(|modest| modest >= 97.0), "{figures:?}");
+    assert!(metrics.goodput >= least * metrics.best, "{metrics:?}");
+    assert!(metrics.wasted <= 1.0, "{metrics:?}");
+    assert_eq!(metrics.inversions, 0, "{metrics:?}");
+    assert!(metrics.worst_wait <= 30.5, "{metrics:?}");
+    assert!(metrics.modest.is_none_or(|modest| modest >= 97.0), "{metrics:?}");
     for baseline in [Decider::TwoChoices, Decider::Fifo, Decider::Strict] {
         let other = measure(&scenario, baseline);
-        assert!(figures.goodput >= 0.995 * other.goodput, "{figures:?} {other:?}");
+        assert!(metrics.goodput >= 0.995 * other.goodput, "{metrics:?} {other:?}");
     }
 }
 
@@ -54,10 +54,10 @@
 #[case("one workspace floods", Switches { fairness: false, ..Switches::default() })]
 #[case("summaries burst", Switches { preemption: false, ..Switches::default() })]
 fn without_its_mechanism_a_bound_is_missed(#[case] name: &str, #[case] switches: Switches) {
-    let figures = measure(&named(name), Decider::Drumusher(switches));
+    let metrics = measure(&named(name), Decider::Drumusher(switches));
     let kept =
-        figures.attainment["pickup"] >= 99.0 && figures.modest.is_none_or(|modest| modest >= 97.0);
-    assert!(!kept, "{figures:?}");
+        metrics.attainment["pickup"] >= 99.0 && metrics.modest.is_none_or(|modest| modest >= 97.0);
+    assert!(!kept, "{metrics:?}");
 }
 
 #[test]
