--- a/crates/drumusher/tests/suspension.rs
+++ b/crates/drumusher/tests/suspension.rs
@@ -1,8 +1,9 @@
-//! Suspensions of the machine, by a clock that is moved on as one would.
+//! Suspensions of the machine, simulated by advancing the process clock.
 //!
-//! A machine may stand still for seconds without its steady clock counting them. What was timed by that clock looked as
-//! young after it as before: a holder of the duties went on with a lease that had long passed to another, and requests
-//! were waited for beyond their time. Read in the code; no machine was suspended for it.
+//! Guards against timeouts by the monotonic clock of the standard library, which doesn't count the time for which a
+//! machine is suspended. With that clock a holder of the duties would continue with a lease that has passed to
+//! another instance, and requests would wait beyond their deadlines. This was found by reading the code; no machine
+//! was suspended for it.
 
 use std::{
     io::Read,
@@ -24,15 +25,15 @@
 };
 use ntex::{rt, time::Millis};
 
-/// How long the machine is suspended.
+/// Length of a suspension.
 const SUSPENDED: Duration = Duration::from_secs(20);
-/// How long something may last that is over by then.
-const SHORT: Micros = 10 * SECOND;
+/// A time limit that passes during a suspension.
+const TIME_LIMIT: Micros = 10 * SECOND;
 
-/// The machine, which one test at a time suspends.
-fn machine() -> MutexGuard<'static, ()> {
-    static MACHINE: Mutex<()> = Mutex::new(());
-    MACHINE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks the process clock, which only one test at a time may advance.
+fn lock_clock() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn run<T>(future: impl Future<Output = T> + 'static) -> T
@@ -42,10 +43,10 @@
     rt::System::build().name("test").build(rt::DefaultRuntime).block_on(future)
 }
 
-/// The steady clock of the standard library does not count it; the clock of the process does.
+/// The process clock counts the time of a suspension; `Instant` does not.
 #[test]
-fn the_clock_counts_the_time() {
-    let _machine = machine();
+fn the_clock_counts_a_suspension() {
+    let _lock = lock_clock();
     let (steady, before, unix) = (Instant::now(), clock::now(), clock::steady_unix_ms());
     clock::suspend(SUSPENDED);
     let counted = Duration::from_micros(clock::now() - before);
@@ -54,12 +55,13 @@
     assert!(clock::steady_unix_ms() - unix >= SUSPENDED.as_millis() as u64);
 }
 
-/// A holder of the duties that wakes up acts no more: its lease is over.
+/// A holder of the duties whose lease expired during a suspension makes no more calls.
 #[test]
-fn a_lease_is_over() {
-    let _machine = machine();
+fn a_lease_expires_during_a_suspension() {
+    let _lock = lock_clock();
     let own = Holder { name: "i0".into(), boot: 1 };
-    let mut lease = Lease::new(own, Options { length: SHORT, min_gap: 0 }, clock::now() - SHORT);
+    let mut lease =
+        Lease::new(own, Options { length: TIME_LIMIT, min_gap: 0 }, clock::now() - TIME_LIMIT);
     lease.read(clock::now(), Version { end: Position::new(0, 1), state: State::default() });
     let Step::Replace { expect, state } = lease.next(clock::now(), &Default::default(), false)
     else {
@@ -68,20 +70,20 @@
     let sent = clock::now();
     lease.replaced(sent, sent, expect, state, Replaced::Done);
     let within = 100 * MILLISECOND;
-    let begun = lease.token().is_some() && lease.left(clock::now()) > 0;
-    assert!(begun, "it has the duties");
+    let held = lease.token().is_some() && lease.left(clock::now()) > 0;
+    assert!(held, "it holds the lease");
     clock::suspend(SUSPENDED);
-    assert!(lease.permit(clock::now(), within).is_none(), "it may begin no call");
+    assert!(lease.permit(clock::now(), within).is_none(), "no call is permitted");
     assert_eq!(lease.left(clock::now()), 0);
 }
 
-/// A call of a duty that was made before and is sent after it is not sent.
+/// A duty's call that was created before a suspension and whose deadline passed meanwhile is not sent.
 #[test]
-fn a_call_that_is_sent_too_late_is_not_sent() {
-    let _machine = machine();
+fn a_call_past_its_deadline_is_not_sent() {
+    let _lock = lock_clock();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
-    let listening = thread::spawn(move || {
+    let address = listener.local_addr().expect("the address of the listener");
+    let server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut read = Vec::new();
         stream.read_to_end(&mut read).map(|_| read)
@@ -91,37 +93,38 @@
         path: "/usage",
         headers: Vec::new(),
         body: "{}".into(),
-        until: clock::now() + SHORT,
+        until: clock::now() + TIME_LIMIT,
         within: Duration::from_secs(3_600),
     };
     clock::suspend(SUSPENDED);
     assert_eq!(run(post(call)), Err(Error::Unreachable));
-    let read = listening.join().expect("it ends");
+    let read = server.join().expect("the thread ends");
     assert_eq!(read.unwrap_or_default(), Vec::<u8>::new());
 }
 
-/// An answer is not waited for beyond the time of its request, although the timer stood still.
+/// Waiting for a response ends at the deadline of the request, although the timer didn't run during the suspension.
 #[test]
-fn what_is_waited_for_ends_in_its_time() {
-    let _machine = machine();
+fn waiting_for_a_response_ends_at_the_deadline() {
+    let _lock = lock_clock();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
-    let listening = thread::spawn(move || listener.accept());
+    let address = listener.local_addr().expect("the address of the listener");
+    let server = thread::spawn(move || listener.accept());
     let hour = 3_600 * SECOND;
-    let waiting = thread::spawn(move || {
+    let client = thread::spawn(move || {
         run(async move {
             let mut conn =
-                upstream::Conn::connect(address, Millis(10_000)).await.expect("it is up");
+                upstream::Conn::connect(address, Millis(10_000)).await.expect("a connection");
             let until = clock::now() + hour;
             conn.next_part(until, || false).await.map(|_| ())
         })
     });
-    let accepted = listening.join().expect("it ends").expect("a connection");
-    // The wait has begun once the connection is up, or begins after it: then it lasts an hour more.
-    while !waiting.is_finished() {
+    let accepted = server.join().expect("the thread ends").expect("a connection");
+    // The wait may begin only after a suspension, and then lasts for an hour from there; so the clock is advanced
+    // until it ends.
+    while !client.is_finished() {
         clock::suspend(Duration::from_micros(hour + SECOND));
         thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(waiting.join().expect("it ends"), Err(upstream::Error::TimedOut));
+    assert_eq!(client.join().expect("the thread ends"), Err(upstream::Error::TimedOut));
     drop(accepted);
 }
