--- a/crates/drumusher/tests/fleet/at_most_once.rs
+++ b/crates/drumusher/tests/fleet/at_most_once.rs
@@ -16,8 +16,8 @@
     counts
 }
 
-/// Three bookings, each sent several times through every instance at once, with a log and a service that are slow or lose
-/// responses.
+/// Three bookings, each sent several times through every instance at once, with a log and a service that are slow or
+/// lose responses.
 #[rstest]
 #[case::healthy("{}", "{}")]
 #[case::lost_appends(r#"{"lose_every": 2}"#, "{}")]
@@ -70,7 +70,7 @@
     drop(join_all(first));
     let http = fleet.instances[1].http.clone();
     let repeat = || book(&http, Some("b-1"), "booking").expect("a response");
-    wait_for("the claimant is known to be gone", || {
+    wait_for("the claimant is known to have ended", || {
         let response = repeat();
         assert_eq!(response.status, 409, "{}", response.body);
         response.json()["error"]["code"] == "outcome_unknown"
@@ -78,19 +78,19 @@
     assert_eq!(runs_by_body(&fleet).values().sum::<usize>(), 1);
 }
 
-/// The claimant is stopped by a signal after its claim and before it sends the call (as closely as a test can time this
-/// from outside), and continues after other instances got the same bookings: each booking runs once.
+/// The claimant is stopped by a signal after its claim and before it sends the call (as closely as a test can time
+/// this from outside), and continues after other instances got the same bookings: each booking runs once.
 #[test]
 fn a_stopped_claimant_runs_nothing_twice_when_it_continues() {
     let fleet = fleet(&["suva"], 3, 1, "");
     switch(&fleet.log.to_string(), r#"{"slow_ms": 60}"#);
     let addresses: Vec<String> = fleet.instances.iter().map(|i| i.http.clone()).collect();
-    let frozen = spawn_each(4, {
+    let paused = spawn_each(4, {
         let http = addresses[0].clone();
         move |number| book(&http, Some(&format!("key-{number}")), &format!("booking {number}"))
     });
     let log = fleet.log.to_string();
-    wait_for("a claim is on its way", || {
+    wait_for("a claim is in the log", || {
         let stats = drumusher_bench::client::get(&log, "/stats", &[]).expect("the log").json();
         stats["next"]["claims"].as_u64().is_some_and(|next| next > 0)
     });
@@ -102,7 +102,7 @@
     });
     let others = join_all(others);
     fleet.instances[0].signal("CONT");
-    let own = join_all(frozen);
+    let own = join_all(paused);
     let counts = runs_by_body(&fleet);
     assert!(counts.values().all(|count| *count == 1), "{counts:?}");
     for response in others.iter().chain(&own).flatten() {
@@ -142,7 +142,7 @@
     assert_eq!((refused.status, says_not_run(&refused)), (503, true), "{}", refused.body);
     assert_eq!(calls(&fleet, "suva").len(), 0);
     switch(&log, r#"{"down": false}"#);
-    wait_for("the booking is made", || {
+    wait_for("the booking runs", || {
         let response = book(http, Some("b-1"), "booking").expect("a response");
         response.status == 200
     });
@@ -160,7 +160,8 @@
     assert_eq!(calls(&fleet, "suva").len(), 1);
 }
 
-/// The instance that ran a booking replays the stored response, even before it has read the end of the call from the log.
+/// The instance that ran a booking replays the stored response, even before it has read the end of the call from the
+/// log.
 #[test]
 fn the_claimant_replays_its_response_without_the_log() {
     let fleet = fleet(&["suva"], 1, 1, "");
--- a/crates/drumusher/tests/fleet/bad_input.rs
+++ b/crates/drumusher/tests/fleet/bad_input.rs
@@ -61,7 +61,7 @@
 #[case::nothing(b"")]
 fn the_peer_port_closes_invalid_connections(#[case] sent: &[u8]) {
     let fleet = fleet(&["suva"], 2, 1, "");
-    let mut connection = TcpStream::connect(&fleet.instances[0].peer).expect("it accepts");
+    let mut connection = TcpStream::connect(&fleet.instances[0].peer).expect("a connection");
     connection.write_all(sent).expect("the bytes are sent");
     let mut rest = Vec::new();
     // Returns when the instance closes.
@@ -71,16 +71,16 @@
     assert_whole(&response, "after", 3);
 }
 
-/// Callers that send only part of a request get 4xx or a closed connection, and one that shuts down its sending side gets a
-/// complete response or none; others are served meanwhile.
+/// Callers that send only part of a request get 4xx or a closed connection, and one that shuts down its sending side
+/// gets a complete response or none; others are served meanwhile.
 #[test]
 fn slow_and_half_closed_callers_delay_no_one() {
     let settings = "[limits]\nbody_ms = 300\nheader_seconds = 1\n";
     let fleet = fleet(&["suva"], 1, 1, settings);
     let http = &fleet.instances[0].http;
-    let mut headers_only = TcpStream::connect(http).expect("it accepts");
+    let mut headers_only = TcpStream::connect(http).expect("a connection");
     headers_only.write_all(b"POST /v1/completions HTTP/1.1\r\nhost: t\r\n").expect("sent");
-    let mut half_body = TcpStream::connect(http).expect("it accepts");
+    let mut half_body = TcpStream::connect(http).expect("a connection");
     let head = "POST /v1/completions HTTP/1.1\r\nhost: t\r\ncontent-length: 100\r\n\r\n{";
     half_body.write_all(head.as_bytes()).expect("sent");
     assert_whole(&stream(http, "urgent", "other", 3).expect("a response"), "other", 3);
--- a/crates/drumusher/tests/fleet/complete_response.rs
+++ b/crates/drumusher/tests/fleet/complete_response.rs
@@ -50,12 +50,14 @@
         (tag.clone(), stream(&http, "urgent", &tag, 120).expect("a response"))
     });
     let [hanging, other] = &engines;
-    wait_for("all run", || engine_stat(hanging, "running") + engine_stat(other, "running") == 8);
+    wait_for("all streams run", || {
+        engine_stat(hanging, "running") + engine_stat(other, "running") == 8
+    });
     let running = engine_stat(hanging, "running");
     assert!(running > 0, "the engine has some streams");
     // Each step produces one token for each stream; the first two steps may process prompts.
     let before = engine_stat(hanging, "tokens");
-    wait_for("each has tokens", || engine_stat(hanging, "tokens") >= before + 3 * running);
+    wait_for("each stream has tokens", || engine_stat(hanging, "tokens") >= before + 3 * running);
     switch(hanging, r#"{"hang": true}"#);
     switch(other, r#"{"slow": 1.0}"#);
     for (tag, response) in join_all(responses) {
@@ -65,15 +67,15 @@
     assert!(resumed >= running, "{resumed} of {running} streams were resumed elsewhere");
 }
 
-/// The dispatcher is stopped by a signal and continues later: no stream breaks, the next instance in rank dispatches new
-/// requests, and nothing fails after the old dispatcher continues.
+/// The dispatcher is stopped by a signal and continues later: no stream breaks, the next instance in rank dispatches
+/// new requests, and nothing fails after the old dispatcher continues.
 #[test]
 fn streams_and_new_requests_survive_a_paused_dispatcher() {
     let fleet = fleet(&["suva"], 3, 2, "");
     let http = fleet.instances[0].http.clone();
     assert_whole(&stream(&http, "urgent", "first", 3).expect("a response"), "first", 3);
-    let frozen = dispatcher(&fleet, "model:draft");
-    let http = fleet.instances[another_instance(&fleet, frozen)].http.clone();
+    let paused = dispatcher(&fleet, "model:draft");
+    let http = fleet.instances[another_instance(&fleet, paused)].http.clone();
     let long = spawn_each(6, {
         let http = http.clone();
         move |number| {
@@ -83,12 +85,12 @@
     });
     let engine = address_of(&fleet, "suva-engine-0");
     wait_for("streams run", || engine_stat(&engine, "tokens") > 20);
-    fleet.instances[frozen].signal("STOP");
+    fleet.instances[paused].signal("STOP");
     for number in 0..4 {
         let tag = format!("frozen{number}");
         assert_whole(&stream(&http, "urgent", &tag, 5).expect("a response"), &tag, 5);
     }
-    fleet.instances[frozen].signal("CONT");
+    fleet.instances[paused].signal("CONT");
     for number in 0..4 {
         let tag = format!("thawed{number}");
         assert_whole(&stream(&http, "urgent", &tag, 5).expect("a response"), &tag, 5);
--- a/crates/drumusher/tests/fleet/configuration.rs
+++ b/crates/drumusher/tests/fleet/configuration.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// Operators send concurrent commands through all instances, conditional on the same version: each round accepts exactly
-/// one, answers the others with a conflict, and leaves all instances with the same configuration.
+/// Operators send concurrent commands through all instances, conditional on the same version: each round accepts
+/// exactly one, answers the others with a conflict, and leaves all instances with the same configuration.
 #[test]
 fn of_concurrent_conditional_commands_one_is_accepted() {
     let fleet = fleet(&["suva"], 3, 1, "");
@@ -56,7 +56,7 @@
     }
     fleet.instances[2].cut_platform(true);
     fleet.command(0, "set class summary wait = 17s");
-    wait_for("the cut instance has it", || class_wait(&fleet, 2, "summary") == Some(17_000));
+    wait_for("the instance has the command", || class_wait(&fleet, 2, "summary") == Some(17_000));
 }
 
 /// A command whose append succeeded but lost its response takes effect once and is accepted.
@@ -73,8 +73,8 @@
     assert_eq!(extra, 6, "{names:?}");
 }
 
-/// While the log is down a command is answered with `unknown`; retried with the same nonce after the log is back, it takes
-/// effect once.
+/// While the log is down a command is answered with `unknown`; retried with the same nonce after the log is back, it
+/// takes effect once.
 #[test]
 fn a_command_with_unknown_outcome_can_be_retried() {
     let fleet = fleet(&["suva"], 2, 1, "");
@@ -91,8 +91,8 @@
     assert_eq!(rows.len(), 1, "{rows:?}");
 }
 
-/// After the log has dropped its oldest records a restarted instance restores the state from the snapshot and the records
-/// after it.
+/// After the log has dropped its oldest records a restarted instance restores the state from the snapshot and the
+/// records after it.
 #[test]
 fn a_restarted_instance_boots_from_a_snapshot() {
     let mut fleet = fleet(&["suva"], 2, 1, "snapshot_every = 5\n");
@@ -112,7 +112,7 @@
         fleet.command(1, &format!("create class extra-{number}"));
     }
     fleet.instances[1].kill();
-    fleet.restart(1).expect("it starts again");
+    fleet.restart(1).expect("the instance restarts");
     fleet.wait_ready();
     fleet.wait_agreed();
     let rows = fleet.ask(1, "show classes").expect("a response").lines();
@@ -126,13 +126,13 @@
     fleet.command(0, "set class summary wait = 13s");
     fleet.instances[1].kill();
     fleet.instances[1].log.cut(true);
-    fleet.restart(1).expect("it starts again");
+    fleet.restart(1).expect("the instance restarts");
     fleet.wait_ready();
     assert_eq!(class_wait(&fleet, 1, "summary"), Some(13_000));
 }
 
-/// After a key rotation the old key is refused and the new one accepted; later statements and log lines show neither the
-/// new key nor its digest.
+/// After a key rotation the old key is refused and the new one accepted; later statements and log lines show neither
+/// the new key nor its digest.
 #[test]
 fn a_rotated_key_is_in_force_and_shown_once() {
     let fleet = fleet(&["suva"], 2, 1, "");
--- a/crates/drumusher/tests/fleet/draining.rs
+++ b/crates/drumusher/tests/fleet/draining.rs
@@ -5,12 +5,12 @@
 use crate::support::{address_of, assert_whole, engine_stat, fleet, stream, switch};
 
 /// The engine that leaves.
-const LEAVING: &str = "suva-engine-0";
+const LEAVING_ENGINE: &str = "suva-engine-0";
 
 /// Sends requests until none out of twenty reaches the engine that is leaving.
-fn assert_left_alone(fleet: &Fleet) {
-    let engine = address_of(fleet, LEAVING);
-    wait_for("the engine gets no new work", || {
+fn assert_no_new_requests(fleet: &Fleet) {
+    let engine = address_of(fleet, LEAVING_ENGINE);
+    wait_for("the engine gets no new requests", || {
         let before = engine_stat(&engine, "requests");
         for number in 0..20 {
             let http = &fleet.instances[number % fleet.instances.len()].http;
@@ -24,21 +24,21 @@
 #[test]
 fn a_server_listed_as_leaving_gets_no_work() {
     let mut fleet = fleet(&["suva"], 2, 2, "");
-    fleet.backends.iter_mut().filter(|b| b.name == LEAVING).for_each(|b| b.leaving = true);
+    fleet.backends.iter_mut().filter(|b| b.name == LEAVING_ENGINE).for_each(|b| b.leaving = true);
     fleet.publish().expect("the list is replaced");
-    assert_left_alone(&fleet);
+    assert_no_new_requests(&fleet);
 }
 
 #[test]
 fn a_server_drained_by_command_gets_no_work_while_the_list_is_down() {
     let fleet = fleet(&["suva"], 2, 2, "");
     fleet.instances.iter().for_each(|instance| instance.list.cut(true));
-    fleet.command(0, &format!("drain engine {LEAVING}"));
-    assert_left_alone(&fleet);
-    fleet.command(0, &format!("undrain engine {LEAVING}"));
-    let engine = address_of(&fleet, LEAVING);
+    fleet.command(0, &format!("drain engine {LEAVING_ENGINE}"));
+    assert_no_new_requests(&fleet);
+    fleet.command(0, &format!("undrain engine {LEAVING_ENGINE}"));
+    let engine = address_of(&fleet, LEAVING_ENGINE);
     let before = engine_stat(&engine, "requests");
-    wait_for("it gets work again", || {
+    wait_for("the engine gets requests again", || {
         let response = stream(&fleet.instances[0].http, "urgent", "again", 2).expect("a response");
         assert_whole(&response, "again", 2);
         engine_stat(&engine, "requests") > before
@@ -51,6 +51,6 @@
     for instance in &fleet.instances {
         instance.cut_platform(true);
     }
-    switch(&address_of(&fleet, LEAVING), r#"{"leaving": true}"#);
-    assert_left_alone(&fleet);
+    switch(&address_of(&fleet, LEAVING_ENGINE), r#"{"leaving": true}"#);
+    assert_no_new_requests(&fleet);
 }
--- a/crates/drumusher/tests/fleet/engine_pause.rs
+++ b/crates/drumusher/tests/fleet/engine_pause.rs
@@ -39,8 +39,8 @@
     switch_all(fleet, r#"{"hang": false}"#);
 }
 
-/// Guards against a pause that counts as one failure for each stream it breaks, so that the engine is considered down for
-/// many seconds, and against a retry budget that one pause uses up.
+/// Guards against a pause that counts as one failure for each stream it breaks, so that the engine is considered down
+/// for many seconds, and against a retry budget that one pause uses up.
 #[rstest]
 #[case::one_engine(3, 1, INITIAL_SLOTS, 1, &["urgent"])]
 #[case::more_streams_than_accumulated_retries(1, 2, STREAMS, 1, &["urgent"])]
@@ -105,10 +105,10 @@
         let before = engine_stat(&engine, "tokens");
         paused.signal("STOP");
         // 75 more tokens for each stream take the engine longer than the stall timeout.
-        wait_for("the engine goes on", || engine_stat(&engine, "tokens") > before + 600);
+        wait_for("the engine produces tokens", || engine_stat(&engine, "tokens") > before + 600);
         paused.signal("CONT");
         let before = engine_stat(&engine, "tokens");
-        wait_for("the engine goes on", || engine_stat(&engine, "tokens") > before + 80);
+        wait_for("the engine produces tokens", || engine_stat(&engine, "tokens") > before + 80);
     }
     switch_all(&fleet, r#"{"step_ms": 1.0}"#);
     for (tag, response) in join_all(streams) {
--- a/crates/drumusher/tests/fleet/failover.rs
+++ b/crates/drumusher/tests/fleet/failover.rs
@@ -22,13 +22,13 @@
         assert_whole(&stream(&http, "urgent", &tag, 40).expect("a response"), &tag, 40);
     });
     let engine = address_of(&fleet, "suva-engine-0");
-    wait_for("some run", || engine_stat(&engine, "running") > 5);
+    wait_for("some requests run", || engine_stat(&engine, "running") > 5);
     let since = Instant::now();
     fleet.instances[killed].kill();
     join_all(responses);
     // Only printed, not asserted: docs/BENCHMARKS.md has the figure.
     println!("all completed {} ms after the dispatcher was killed", since.elapsed().as_millis());
-    wait_for("another one dispatches", || {
+    wait_for("another instance dispatches", || {
         let rows = fleet
             .ask(another_instance(&fleet, killed), "show instances")
             .expect("a response")
@@ -37,7 +37,8 @@
     });
 }
 
-/// The two instances of a zone are partitioned from each other and reconnected, twice: both serve requests all the time.
+/// The two instances of a zone are partitioned from each other and reconnected, twice: both serve requests all the
+/// time.
 #[test]
 fn partitioned_instances_serve_requests() {
     let fleet = fleet(&["suva"], 2, 2, "");
@@ -60,7 +61,7 @@
 fn the_steps_and_spans_of_a_request_can_be_queried() {
     let fleet = fleet(&["suva"], 2, 1, "");
     let response = stream(&fleet.instances[1].http, "urgent", "why", 3).expect("a response");
-    let id = response.header("x-request-id").expect("an identity").to_string();
+    let id = response.header("x-request-id").expect("a request ID").to_string();
     let trace = response.header("drumusher-trace").expect("a trace").to_string();
     wait_for("the steps are known", || {
         let rows = fleet.ask(0, &format!("show request {id}")).expect("a response").lines();
@@ -79,9 +80,9 @@
 fn a_request_is_logged() {
     let fleet = fleet(&["suva"], 1, 1, "[telemetry]\nlevel = \"debug\"");
     let response = stream(&fleet.instances[0].http, "urgent", "logged", 3).expect("a response");
-    let id = response.header("x-request-id").expect("an identity");
+    let id = response.header("x-request-id").expect("a request ID");
     let trace = response.header("drumusher-trace").expect("a trace");
-    wait_for("the line is written", || {
+    wait_for("the log line is written", || {
         let lines = fleet.instances[0].lines();
         let parsed = lines.lines().filter_map(|line| serde_json::from_str(line).ok());
         let mut attributes = parsed.map(|line: serde_json::Value| line["attributes"].clone());
--- a/crates/drumusher/tests/fleet/isolation.rs
+++ b/crates/drumusher/tests/fleet/isolation.rs
@@ -26,7 +26,7 @@
 
 /// How many other requests were granted while the request waited at its dispatchers.
 fn granted_before(fleet: &Fleet, response: &client::Response) -> u64 {
-    let id = response.header("x-request-id").expect("an identity");
+    let id = response.header("x-request-id").expect("a request ID");
     let steps = fleet.ask(0, &format!("show request {id}")).expect("a response").lines();
     let others = steps.iter().filter_map(|step| {
         let (before, _) = step["what"].as_str()?.split_once(" other grants")?;
@@ -43,11 +43,11 @@
     lines.map(|lines| lines.matches("the process did not run").count()).sum()
 }
 
-/// One workspace floods its class; each request of another one waits for a few requests of the flood, not for all of it.
-/// Guards against a dispatcher that serves the flood first.
+/// One workspace floods its class; each request of another one waits for a few requests of the flood, not for all of
+/// it. Guards against a dispatcher that serves the flood first.
 ///
-/// While one instance is paused the other goes on serving the flood, so the bound on requests that finish first holds only
-/// without a pause. The bound on those that a dispatcher grants first always holds.
+/// While one instance is paused the other goes on serving the flood, so the bound on requests that finish first holds
+/// only without a pause. The bound on those that a dispatcher grants first always holds.
 #[test]
 fn a_flood_does_not_delay_another_workspace() {
     let fleet = fleet(&["suva"], 2, 1, "");
@@ -66,7 +66,7 @@
             served
         }
     });
-    wait_for("the flood is on", || engine_stat(&engine, "finished") > 100);
+    wait_for("the flood has begun", || engine_stat(&engine, "finished") > 100);
     for number in 0..10 {
         let (before, paused_before) = (engine_stat(&engine, "finished"), pauses(&fleet));
         let response = ask(&addresses[number % 2], "vanua", "urgent");
@@ -96,12 +96,14 @@
         let http = http.clone();
         move |_| complete(&http, "hizlikosu", "urgent")
     });
-    wait_for("one runs", || engine_stat(&engine, "waiting") + engine_stat(&engine, "running") == 1);
+    wait_for("one request runs", || {
+        engine_stat(&engine, "waiting") + engine_stat(&engine, "running") == 1
+    });
     let refused = || {
         let rows = fleet.ask(0, "show waiting").expect("a response").lines();
         rows.len() == 1
     };
-    wait_for("one waits and the others were refused", refused);
+    wait_for("one request waits and the others are refused", refused);
     switch(&engine, r#"{"hang": false}"#);
     assert_eq!(complete(&http, "vanua", "urgent"), 200);
     let mut statuses = join_all(held);
@@ -109,7 +111,8 @@
     assert_eq!(statuses, [200, 200, 429, 429, 429, 429]);
 }
 
-/// A disconnected caller frees its slot: the next request of its workspace, which has a concurrency limit of 1, is served.
+/// A disconnected caller frees its slot: the next request of its workspace, which has a concurrency limit of 1, is
+/// served.
 #[test]
 fn a_disconnected_caller_frees_its_slot() {
     let fleet = fleet(&["suva"], 2, 1, "");
--- a/crates/drumusher/tests/fleet/shutdown.rs
+++ b/crates/drumusher/tests/fleet/shutdown.rs
@@ -30,10 +30,10 @@
     wait_for("all streams run", || engine_stat(&engine, "running") == 9);
     fleet.instances[stopping].signal("TERM");
     switch(&engine, r#"{"slow": 1.0}"#);
-    let rest = another_instance(&fleet, stopping);
+    let other = another_instance(&fleet, stopping);
     for number in 0..5 {
         let tag = format!("new{number}");
-        let http = &fleet.instances[rest].http;
+        let http = &fleet.instances[other].http;
         assert_whole(&stream(http, "urgent", &tag, 4).expect("a response"), &tag, 4);
     }
     join_all(streams);
@@ -56,7 +56,7 @@
     let engine = address_of(&fleet, "suva-engine-0");
     wait_for("the stream runs", || engine_stat(&engine, "running") == 1);
     fleet.instances[0].signal("TERM");
-    wait_for("it says that it is not ready", || {
+    wait_for("the instance reports that it is not ready", || {
         let response = drumusher_bench::client::get(&http, "/health/ready", &[]);
         response.is_ok_and(|response| response.status == 503)
     });
@@ -64,7 +64,8 @@
     join_all(held);
 }
 
-/// A second SIGTERM ends the process at once, with a failure status and a log line that has the number of broken requests.
+/// A second SIGTERM ends the process at once, with a failure status and a log line that has the number of broken
+/// requests.
 #[test]
 fn a_second_signal_ends_at_once_and_logs_broken_requests() {
     let mut fleet = fleet(&["suva"], 1, 1, "");
@@ -75,7 +76,7 @@
     fleet.instances[0].signal("TERM");
     wait_for("the first signal is noticed", || fleet.instances[0].lines().contains("stopping"));
     fleet.instances[0].signal("TERM");
-    wait_for("it ends", || fleet.instances[0].ended().is_some());
+    wait_for("the instance ends", || fleet.instances[0].ended().is_some());
     let status = fleet.instances[0].ended();
     assert!(status.is_some_and(|status| !status.success()), "{status:?}");
     assert!(fleet.instances[0].lines().contains("requests cut: 1"));
--- a/crates/drumusher/tests/fleet/tiers.rs
+++ b/crates/drumusher/tests/fleet/tiers.rs
@@ -7,8 +7,8 @@
     spawn_each, stream, switch,
 };
 
-/// Urgent requests arrive at an engine that is full of summaries: all are served, and the summaries that were preempted for
-/// them resume and complete.
+/// Urgent requests arrive at an engine that is full of summaries: all are served, and the summaries that were
+/// preempted for them resume and complete.
 #[test]
 fn urgent_requests_preempt_summaries_and_nothing_is_lost() {
     let fleet = fleet(&["suva"], 2, 1, "");
@@ -32,8 +32,8 @@
     join_all(summaries);
 }
 
-/// Guards against urgent requests that are granted slots beyond the batch size of the engine and wait in its own queue until
-/// summaries end.
+/// Guards against urgent requests that are granted slots beyond the batch size of the engine and wait in its own
+/// queue until summaries end.
 #[test]
 fn urgent_requests_preempt_summaries_although_the_window_exceeds_the_batch() {
     let fleet = fleet(&["suva"], 2, 1, "");
