--- a/crates/drumusher/tests/unit/catalog.rs
+++ b/crates/drumusher/tests/unit/catalog.rs
@@ -1,4 +1,4 @@
-//! Entries of backend servers while the store is there and away.
+//! Entries of backend servers while the store is available and during outages.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A place in the first era.
+/// A position in the first era.
 fn at(offset: u64) -> Position {
     Position::new(1, offset)
 }
@@ -37,111 +37,113 @@
     entries
 }
 
-/// Ends that this instance reads itself, each in changes of its own.
-struct Reads {
+/// An instance that reads the store itself, one removal at a time.
+struct Reader {
     entries: Entries,
     end: u64,
 }
 
-impl Reads {
+impl Reader {
     fn new() -> Self {
-        Reads { entries: entries(), end: 2 }
+        Reader { entries: entries(), end: 2 }
     }
 
-    /// Reads the end of an entry. Returns whether it is held back.
-    fn end(&mut self, id: &str, now: u64) -> bool {
+    /// Reads the removal of an entry. Returns whether the removal is pending.
+    fn remove(&mut self, id: &str, now: u64) -> bool {
         self.end += 1;
         self.entries.record_read(at(self.end), now);
         self.entries.remove(id, at(self.end))
     }
 
+    /// Records a failed call.
     fn fail(&mut self, now: u64) {
         self.entries.health_mut().record_failure(now, now);
     }
 
-    fn answer(&mut self, now: u64) -> bool {
+    /// Records an answered call. Returns whether it ends an outage.
+    fn succeed(&mut self, now: u64) -> bool {
         self.entries.health_mut().record_success(now, false)
     }
 }
 
 #[test]
-fn an_entry_that_ends_is_gone_at_once() {
-    let mut reads = Reads::new();
-    assert!(!reads.end("a", 10));
-    assert_eq!(ids(&reads.entries), ["b"]);
+fn a_removal_applies_at_once() {
+    let mut reader = Reader::new();
+    assert!(!reader.remove("a", 10));
+    assert_eq!(ids(&reader.entries), ["b"]);
 }
 
 #[test]
-fn an_entry_that_ends_while_the_store_was_away_is_held_until_it_is_certain() {
-    let mut reads = Reads::new();
-    reads.fail(5);
-    assert!(reads.end("a", 10));
-    assert!(reads.end("b", 10));
+fn a_removal_during_an_outage_is_pending_until_it_is_certain() {
+    let mut reader = Reader::new();
+    reader.fail(5);
+    assert!(reader.remove("a", 10));
+    assert!(reader.remove("b", 10));
     assert!(
-        reads.entries.remove_confirmed(10 + 10 * RECOVERY_GRACE).is_empty(),
-        "the store is still away"
+        reader.entries.remove_confirmed(10 + 10 * RECOVERY_GRACE).is_empty(),
+        "the store is still unavailable"
     );
     let back = 10 + 10 * RECOVERY_GRACE;
-    assert!(reads.answer(back));
-    assert!(reads.entries.remove_confirmed(back + RECOVERY_GRACE - 1).is_empty());
-    assert_eq!(ids(&reads.entries), ["a", "b"]);
-    reads.entries.put(server("b"));
-    assert_eq!(reads.entries.remove_confirmed(back + RECOVERY_GRACE), ["a"]);
-    assert_eq!(ids(&reads.entries), ["b"]);
+    assert!(reader.succeed(back));
+    assert!(reader.entries.remove_confirmed(back + RECOVERY_GRACE - 1).is_empty());
+    assert_eq!(ids(&reader.entries), ["a", "b"]);
+    reader.entries.put(server("b"));
+    assert_eq!(reader.entries.remove_confirmed(back + RECOVERY_GRACE), ["a"]);
+    assert_eq!(ids(&reader.entries), ["b"]);
 }
 
 #[test]
-fn an_end_told_soon_after_the_return_is_held_too() {
-    let mut reads = Reads::new();
-    reads.fail(900);
-    reads.answer(1_000);
-    assert!(reads.end("a", 1_001));
-    assert!(!reads.end("b", 1_000 + RECOVERY_GRACE));
+fn a_removal_soon_after_an_outage_is_pending_too() {
+    let mut reader = Reader::new();
+    reader.fail(900);
+    reader.succeed(1_000);
+    assert!(reader.remove("a", 1_001));
+    assert!(!reader.remove("b", 1_000 + RECOVERY_GRACE));
 }
 
 #[test]
-fn what_a_whole_table_does_not_have_ended() {
+fn entries_missing_from_a_whole_table_are_removed() {
     let mut entries = entries();
     entries.record_read(at(3), 10);
     entries.retain_listed(&BTreeSet::from(["b".to_string()]), at(3));
     assert_eq!(ids(&entries), ["b"]);
 }
 
-/// What another instance confirms is believed, although the own calls fail.
+/// Removals that another instance confirms apply, even if the calls of this instance fail.
 #[test]
-fn what_another_instance_confirms_is_believed() {
-    let mut reads = Reads::new();
-    reads.fail(5);
-    reads.entries.confirm(at(3));
-    assert!(!reads.entries.remove("a", at(3)));
-    assert_eq!(ids(&reads.entries), ["b"]);
-    assert!(reads.entries.remove("b", at(4)), "it is beyond what was confirmed");
-    reads.entries.confirm(at(4));
-    assert_eq!(reads.entries.remove_confirmed(10), ["b"]);
+fn removals_confirmed_by_another_instance_apply() {
+    let mut reader = Reader::new();
+    reader.fail(5);
+    reader.entries.confirm(at(3));
+    assert!(!reader.entries.remove("a", at(3)));
+    assert_eq!(ids(&reader.entries), ["b"]);
+    assert!(reader.entries.remove("b", at(4)), "it is after the confirmed position");
+    reader.entries.confirm(at(4));
+    assert_eq!(reader.entries.remove_confirmed(10), ["b"]);
 }
 
-/// An end that another instance tells and does not confirm is held until somebody confirms it, or until it is
-/// read here, where the store was there all the time.
+/// A removal that another instance relays without confirmation is pending until an instance confirms it, or until this
+/// instance reads it itself with the store available all the time.
 #[rstest]
-fn what_nobody_confirms_is_held(#[values(false, true)] read: bool) {
+fn an_unconfirmed_removal_is_pending(#[values(false, true)] read: bool) {
     let mut entries = entries();
     entries.health_mut().record_success(5, false);
     entries.record_read(at(2), 5);
     assert!(entries.remove("a", at(3)));
     assert!(entries.remove_confirmed(10 * RECOVERY_GRACE).is_empty());
-    let gone = if read {
+    let removed = if read {
         entries.record_read(at(3), 10 * RECOVERY_GRACE)
     } else {
         entries.confirm(at(3));
         entries.remove_confirmed(10 * RECOVERY_GRACE)
     };
-    assert_eq!(gone, ["a"]);
+    assert_eq!(removed, ["a"]);
 }
 
-/// Who has just begun to see the store believes what it reads, but confirms nothing to others: the store may have
-/// been away before.
+/// An instance that has just begun to read the store applies removals, but confirms none to others: the store may
+/// have been unavailable before.
 #[test]
-fn only_what_was_seen_steadily_is_confirmed() {
+fn removals_are_confirmed_only_with_a_stable_store() {
     let mut entries = entries();
     entries.health_mut().record_success(1_000, false);
     entries.record_read(at(3), 1_000);
@@ -152,22 +154,27 @@
     assert_eq!(entries.confirmed(), at(3));
     entries.health_mut().record_idle(1_000 + RECOVERY_GRACE);
     entries.record_read(at(4), 2 * RECOVERY_GRACE);
-    assert_eq!(entries.confirmed(), at(3), "others tell, and the own calls are a chance one");
+    assert_eq!(
+        entries.confirmed(),
+        at(3),
+        "an idle instance makes only occasional calls and confirms nothing"
+    );
 }
 
-/// Instances that tell each other all the time what they read and confirmed, each with the own end of an outage:
-/// an end is believed everywhere once the last doubt is over by its own time, and never before the first one is.
+/// Instances exchange removals and confirmed positions all the time, and an outage ends for each at another time. A
+/// removal applies at all of them as soon as the first grace period is over, and never before. Guards against
+/// uncertainty that circulates among instances.
 #[test]
-fn doubt_does_not_go_round() {
-    const TOLD_EVERY: u64 = RECOVERY_GRACE / 20;
+fn uncertainty_does_not_circulate() {
+    const EXCHANGE_INTERVAL: u64 = RECOVERY_GRACE / 20;
     let returns = [0, 100_000, 300_000, 450_000].map(|late| 1_000_000 + late);
     let mut all: Vec<Entries> = returns.iter().map(|_| entries()).collect();
     for one in &mut all {
         one.health_mut().record_failure(500_000, 500_000);
     }
     let mut end = 2;
-    let mut gone = None;
-    for now in (returns[0]..returns[0] + 3 * RECOVERY_GRACE).step_by(TOLD_EVERY as usize) {
+    let mut removed = None;
+    for now in (returns[0]..returns[0] + 3 * RECOVERY_GRACE).step_by(EXCHANGE_INTERVAL as usize) {
         end += 1;
         for (one, back) in all.iter_mut().zip(returns) {
             if now >= back {
@@ -183,19 +190,20 @@
         let left = all.iter().filter(|one| ids(one).contains(&"a".to_string())).count();
         assert!(
             left == all.len() || now >= returns[0] + RECOVERY_GRACE,
-            "believed too soon, at {now}"
+            "applied too soon, at {now}"
         );
         if left == 0 {
-            gone.get_or_insert(now);
+            removed.get_or_insert(now);
         }
     }
-    assert_eq!(gone, Some(returns[0] + RECOVERY_GRACE));
+    assert_eq!(removed, Some(returns[0] + RECOVERY_GRACE));
 }
 
-/// A call that fails after it lasted longer than others do tells of the past; any other one tells of now, also one
-/// that began before another was answered: both were under way when the store fell silent, or one was not.
+/// A failed call that lasted as long as the detection time may be due to an outage that is over, and is ignored. A
+/// shorter one shows the current state, even if it began before another call was answered: the outage may have begun
+/// while both were in flight or between them.
 #[test]
-fn a_call_that_lasted_long_tells_nothing() {
+fn a_failure_after_a_long_call_is_ignored() {
     let mut health = Health::new().with_detection_time(4_000_000);
     health.record_success(5_000_000, false);
     assert!(!health.record_failure(5_000_000, 9_000_000));
@@ -206,10 +214,10 @@
     assert!(!health.is_stable(8_700_000 + RECOVERY_GRACE));
 }
 
-/// Who begins to read because those who told it get no answers doubts what it reads first; later answers, and a first
-/// one without such a word, begin no doubt.
+/// An instance that begins to read because its readers reported an outage treats its first answer as the end of that
+/// outage. Later answers, and a first one without such a report, cause no uncertainty.
 #[rstest]
-fn what_is_read_after_a_rest_is_doubted_by_others_word(#[values(false, true)] suspected: bool) {
+fn the_first_answer_after_idling_ends_a_reported_outage(#[values(false, true)] suspected: bool) {
     let mut health = Health::new();
     health.record_success(1_000, false);
     health.record_idle(2_000);
@@ -219,9 +227,9 @@
     assert!(!health.is_uncertain(3_000 + RECOVERY_GRACE));
 }
 
-/// A failure of before is forgotten while others tell, once they would have found out too.
+/// An earlier failure is forgotten while updates are relayed, once the readers would have detected the outage too.
 #[test]
-fn a_failure_is_forgotten_while_others_tell() {
+fn a_failure_is_forgotten_while_idle() {
     let mut health = Health::new();
     health.record_failure(1_000, 1_000);
     health.record_idle(2_000_000);
@@ -250,41 +258,40 @@
 }
 
 proptest! {
-    /// No entry is dropped while the store is away or within the time for lapsed ones after its
-    /// return; and none that ended before stays for ever.
+    /// No entry is removed while the store is unavailable or within the grace period after its return, and all
+    /// removals apply in the end.
     #[test]
-    fn nothing_is_dropped_while_in_doubt(steps in proptest::collection::vec((step(), 0_u64..RECOVERY_GRACE), 1..80)) {
-        let mut reads = Reads { entries: Entries::new(), end: 0 };
-        let (mut now, mut away, mut returned) = (1_000_u64, false, None::<u64>);
+    fn no_entry_is_removed_while_uncertain(steps in proptest::collection::vec((step(), 0_u64..RECOVERY_GRACE), 1..80)) {
+        let mut reader = Reader { entries: Entries::new(), end: 0 };
+        let (mut now, mut unavailable, mut returned) = (1_000_u64, false, None::<u64>);
         for (step, pause) in steps {
             now += pause;
-            let before = ids(&reads.entries);
-            let doubtful = away || returned.is_some_and(|returned| now < returned + RECOVERY_GRACE);
+            let before = ids(&reader.entries);
+            let uncertain = unavailable || returned.is_some_and(|returned| now < returned + RECOVERY_GRACE);
             match step {
-                Step::Put(id) => { reads.entries.put(server(&id.to_string())); }
-                Step::End(id) => { reads.end(&id.to_string(), now); }
-                Step::Fail => { reads.fail(now); away = true; }
+                Step::Put(id) => { reader.entries.put(server(&id.to_string())); }
+                Step::End(id) => { reader.remove(&id.to_string(), now); }
+                Step::Fail => { reader.fail(now); unavailable = true; }
                 Step::Answer => {
-                    if reads.answer(now) { returned = Some(now); }
-                    away = false;
+                    if reader.succeed(now) { returned = Some(now); }
+                    unavailable = false;
                 }
-                Step::Release => { reads.entries.remove_confirmed(now); }
+                Step::Release => { reader.entries.remove_confirmed(now); }
             }
-            if doubtful {
-                prop_assert!(before.iter().all(|id| ids(&reads.entries).contains(id)));
+            if uncertain {
+                prop_assert!(before.iter().all(|id| ids(&reader.entries).contains(id)));
             }
         }
-        reads.answer(now);
-        for id in 0..4 { reads.end(&id.to_string(), now + RECOVERY_GRACE); }
-        reads.entries.remove_confirmed(now + 2 * RECOVERY_GRACE);
-        prop_assert!(ids(&reads.entries).is_empty());
+        reader.succeed(now);
+        for id in 0..4 { reader.remove(&id.to_string(), now + RECOVERY_GRACE); }
+        reader.entries.remove_confirmed(now + 2 * RECOVERY_GRACE);
+        prop_assert!(ids(&reader.entries).is_empty());
     }
 }
 
-/// An entry that says what is known is told apart from one that says something new, so that a table
-/// read again does not fill the log.
+/// `put` returns whether an entry changes anything, so that reading a table again does not fill the log.
 #[test]
-fn an_entry_read_again_says_nothing_new() {
+fn an_unchanged_entry_is_no_change() {
     let mut entries = Entries::new();
     assert!(entries.put(server("a")));
     assert!(!entries.put(server("a")));
@@ -292,37 +299,38 @@
     assert!(entries.put(leaving));
 }
 
-/// A server that starts again keeps its name. What its earlier start wrote and came late says nothing.
+/// A server that restarts keeps its name. Entries from before its restart that arrive late are ignored.
 #[test]
-fn an_entry_of_an_earlier_start_changes_nothing() {
-    let born =
+fn an_entry_from_before_a_restart_is_ignored() {
+    let started_at =
         |started_ms, leaving| Server { started_ms: Some(started_ms), leaving, ..server("a") };
     let mut entries = Entries::new();
-    assert!(entries.put(born(1_000, false)));
-    assert!(entries.put(born(2_000, false)), "a later start is new");
-    assert!(!entries.put(born(1_000, true)));
+    assert!(entries.put(started_at(1_000, false)));
+    assert!(entries.put(started_at(2_000, false)), "the server restarted");
+    assert!(!entries.put(started_at(1_000, true)));
     assert!(
         !entries.put(server("a")),
-        "one that does not tell its start is older than one that does"
+        "an entry without a start time is older than one that has it"
     );
     let known: Vec<Option<u64>> = entries.servers().map(|server| server.started_ms).collect();
     assert_eq!(known, [Some(2_000)]);
 }
 
-/// A table is read many times; an entry that cannot be understood has a line in the log once.
+/// An invalid entry is logged once, although its table is read many times.
 #[test]
-fn an_entry_is_passed_over_with_one_line() {
+fn a_skipped_entry_is_logged_once() {
     let mut skipped = Skipped::new();
     assert!(skipped.record(Table::Servers, "a", "[]"));
     assert!(!skipped.record(Table::Servers, "a", "[]"));
-    assert!(skipped.record(Table::Servers, "a", "{}"), "it changed");
+    assert!(skipped.record(Table::Servers, "a", "{}"), "the value changed");
     assert!(skipped.record(Table::Instances, "a", "{}"), "it is another table");
     (0..10_000).for_each(|n| assert!(skipped.record(Table::Servers, &format!("k{n}"), "")));
 }
 
-/// What was confirmed before a restore says nothing of ends after it, although offsets are lower there.
+/// A position that was confirmed before the store was restored doesn't confirm removals after that, although their
+/// offsets are lower.
 #[test]
-fn ends_after_a_restore_are_held() {
+fn removals_after_a_restore_are_pending() {
     let mut entries = entries();
     entries.health_mut().record_success(1_000, false);
     entries.record_read(at(40), 1_000 + RECOVERY_GRACE);
@@ -339,42 +347,44 @@
     assert_eq!(entries.confirmed(), end);
 }
 
-/// The copy's entry of a backend server that leaves does not call it back; that of its next start does.
+/// After a restore the backup's entry of a server that is leaving doesn't make it ready; one from after its restart
+/// does.
 #[test]
-fn a_copy_calls_no_leaving_server_back() {
+fn a_restored_entry_does_not_reset_leaving() {
     let mut entries = Entries::new();
-    let born =
+    let started_at =
         |started_ms, leaving| Server { started_ms: Some(started_ms), leaving, ..server("a") };
-    entries.put(born(1_000, true));
-    entries.put_restored(born(1_000, false), 0);
+    entries.put(started_at(1_000, true));
+    entries.put_restored(started_at(1_000, false), 0);
     assert!(entries.servers().all(|server| server.leaving));
-    entries.put_restored(born(2_000, false), 0);
+    entries.put_restored(started_at(2_000, false), 0);
     assert!(entries.servers().all(|server| !server.leaving));
 }
 
-/// The copy's entry of a backend server that had left does not bring it back, unless nobody ends it again.
+/// The backup's entry of a removed server is accepted only if it isn't removed again within the time in which it would
+/// expire.
 #[rstest]
-fn a_copy_revives_only_what_does_not_end_again(#[values(false, true)] ends: bool) {
-    let mut reads = Reads::new();
-    assert!(!reads.end("a", 10));
+fn a_restored_entry_is_accepted_unless_removed_again(#[values(false, true)] removed_again: bool) {
+    let mut reader = Reader::new();
+    assert!(!reader.remove("a", 10));
     let end = Position::new(2, 2);
-    reads.entries.retain_listed(&BTreeSet::from(["a".to_string(), "b".to_string()]), end);
-    reads.entries.put_restored(server("a"), 20);
-    assert_eq!(ids(&reads.entries), ["b"]);
-    assert!(!reads.entries.accept_restored(20 + RECOVERY_GRACE));
-    if ends {
-        reads.entries.remove("a", end.advance(1));
+    reader.entries.retain_listed(&BTreeSet::from(["a".to_string(), "b".to_string()]), end);
+    reader.entries.put_restored(server("a"), 20);
+    assert_eq!(ids(&reader.entries), ["b"]);
+    assert!(!reader.entries.accept_restored(20 + RECOVERY_GRACE));
+    if removed_again {
+        reader.entries.remove("a", end.advance(1));
     }
-    assert_eq!(reads.entries.accept_restored(20 + 10 * RECOVERY_GRACE), !ends);
-    assert_eq!(ids(&reads.entries).contains(&"a".to_string()), !ends);
+    assert_eq!(reader.entries.accept_restored(20 + 10 * RECOVERY_GRACE), !removed_again);
+    assert_eq!(ids(&reader.entries).contains(&"a".to_string()), !removed_again);
 }
 
-/// One that is written again after the return is there at once.
+/// An entry that its owner writes again after the restore is accepted at once.
 #[test]
-fn what_is_written_after_a_restore_is_believed() {
-    let mut reads = Reads::new();
-    assert!(!reads.end("a", 10));
-    reads.entries.put_restored(server("a"), 20);
-    assert!(reads.entries.put(server("a")));
-    assert_eq!(ids(&reads.entries), ["a", "b"]);
+fn an_entry_written_after_a_restore_is_accepted() {
+    let mut reader = Reader::new();
+    assert!(!reader.remove("a", 10));
+    reader.entries.put_restored(server("a"), 20);
+    assert!(reader.entries.put(server("a")));
+    assert_eq!(ids(&reader.entries), ["a", "b"]);
 }
--- a/crates/drumusher/tests/unit/directory.rs
+++ b/crates/drumusher/tests/unit/directory.rs
@@ -1,8 +1,8 @@
 //! The directory of backend servers and instances.
 //!
 //! Each instance builds a new directory for each change of a backend server. Guards against a linear search for each
-//! server while the directory is built, which took 20 ms at 3,000 servers. A simulated day of 300 instances has thousands
-//! of changes and then used more processor time than was available, half of it in this search.
+//! server while the directory is built, which took 20 ms at 3,000 servers. A simulated day of 300 instances has
+//! thousands of changes and then used more processor time than was available, half of it in this search.
 
 use std::{sync::Arc, time::Instant};
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// A directory has each of 3,000 servers once, by name. Prints the time that it takes; for a meaningful figure run it in
-/// release mode with `--nocapture`.
+/// A directory has each of 3,000 servers once, by name. Prints the time that it takes; for a meaningful figure run it
+/// in release mode with `--nocapture`.
 #[test]
 fn servers_are_found_by_name_in_a_large_directory() {
     let servers: Vec<Server> = (0..3_000).map(server).collect();
--- a/crates/drumusher/tests/unit/fetch.rs
+++ b/crates/drumusher/tests/unit/fetch.rs
@@ -55,8 +55,8 @@
     assert_eq!(requested, Some(request(OTHER, 0)));
 }
 
-/// A closed connection loses no received bytes: the fetch continues there with another instance, or with the same one over
-/// a new connection.
+/// A closed connection loses no received bytes: the fetch continues there with another instance, or with the same one
+/// over a new connection.
 #[rstest]
 #[case::another(OTHER)]
 #[case::the_same(SOURCE)]
@@ -80,8 +80,8 @@
     assert_eq!(requested, Some(request(OTHER, 2)));
 }
 
-/// Pieces that don't continue the fetch are ignored: duplicates, gaps, pieces of other content or with another total length,
-/// and empty ones.
+/// Pieces that don't continue the fetch are ignored: duplicates, gaps, pieces of other content or with another total
+/// length, and empty ones.
 #[rstest]
 #[case(piece(0, b"ab"))]
 #[case(piece(4, b"ef"))]
@@ -95,8 +95,8 @@
     assert_eq!(fetch.receive(1, SOURCE, &piece(2, b"cd")), Step::Next(request(SOURCE, 4)));
 }
 
-/// Another thread applies a complete update. Meanwhile it is not requested again unless it was rejected, but a newer one
-/// is.
+/// Another thread applies a complete update. Meanwhile it is not requested again unless it was rejected, but a newer
+/// one is.
 #[test]
 fn an_update_being_applied_is_not_requested_again() {
     let mut fetch = begun();
--- a/crates/drumusher/tests/unit/hosted_pool.rs
+++ b/crates/drumusher/tests/unit/hosted_pool.rs
@@ -1,12 +1,12 @@
 //! The events that tell the scheduler of a pool about its backend servers.
 //!
-//! Guards against engines that keep a learned window after a configuration that disables it. A dispatcher that restarted
-//! under a burst, four seconds after it lost power, got the backend servers a millisecond before the configuration, and
-//! (as inferred) the first requests in between. So it added the engines with learned windows, which begin at 16 of 48
-//! slots, and updated an engine only if its number of slots or its leaving changed. Urgent requests waited while less
-//! urgent ones ran: 456 of 1,111 requests of an urgent route got no grant within five seconds, while 12 to 43 of the 48
-//! slots were in use. With windows that follow the configuration 830 were delivered in that time, and none was left
-//! without a grant.
+//! Guards against engines that keep a learned window after a configuration that disables it. A dispatcher that
+//! restarted under a burst, four seconds after it lost power, got the backend servers a millisecond before the
+//! configuration, and (as inferred) the first requests in between. So it added the engines with learned windows,
+//! which begin at 16 of 48 slots, and updated an engine only if its number of slots or its leaving changed. Urgent
+//! requests waited while less urgent ones ran: 456 of 1,111 requests of an urgent route got no grant within five
+//! seconds, while 12 to 43 of the 48 slots were in use. With windows that follow the configuration 830 were delivered
+//! in that time, and none was left without a grant.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -61,8 +61,8 @@
     keys.collect()
 }
 
-/// A server that restarts under its name gets a new key: cached prefixes, pace, failures and running requests belong to
-/// the key from before the restart.
+/// A server that restarts under its name gets a new key: cached prefixes, pace, failures and running requests belong
+/// to the key from before the restart.
 #[test]
 fn a_restarted_server_gets_a_new_key() {
     let bound = Bound { ratio: 0.2, slack: 1.0, window: 1 };
@@ -81,8 +81,9 @@
     );
 }
 
-/// A rate limit is removed together with the entry of its server. Guards against a limit that stays in the scheduler, where
-/// nothing lifts it: a server whose entry returned after an outage kept the old rate until it announced another limit.
+/// A rate limit is removed together with the entry of its server. Guards against a limit that stays in the scheduler,
+/// where nothing lifts it: a server whose entry returned after an outage kept the old rate until it announced another
+/// limit.
 #[test]
 fn a_rate_limit_is_removed_with_the_entry_of_its_server() {
     let bound = Bound { ratio: 0.2, slack: 1.0, window: 1 };
--- a/crates/drumusher/tests/unit/notices.rs
+++ b/crates/drumusher/tests/unit/notices.rs
@@ -69,13 +69,13 @@
 }
 
 /// Why a request must not be sent to the server now, if so.
-fn why(
+fn withheld_reason(
     notices: &Notices,
     at: Micros,
     server: &Backend,
     known_limit: KnownLimit,
 ) -> Option<Withheld> {
-    notices.withheld(at, server, known_limit).map(|(why, _)| why)
+    notices.withheld(at, server, known_limit).map(|(reason, _)| reason)
 }
 
 /// A response without a notice is not stored.
@@ -84,7 +84,7 @@
     let notices = Notices::default();
     assert!(record_response(&notices, NOW, &server("a", None), Notice::default()).is_none());
     assert!(notices.all_in_force(NOW).is_empty());
-    assert_eq!(why(&notices, NOW, &server("a", None), UNAWARE), None);
+    assert_eq!(withheld_reason(&notices, NOW, &server("a", None), UNAWARE), None);
 }
 
 /// A server that is leaving gets no more requests, whatever its later responses say, until it restarts.
@@ -96,15 +96,18 @@
         "the dispatcher is notified"
     );
     record_response(&notices, NOW + SECOND, &old, Notice::default());
-    assert_eq!(why(&notices, NOW + 600 * SECOND, &old, COUNTED), Some(Withheld::Leaving));
-    assert_eq!(why(&notices, NOW, &new, UNAWARE), None);
+    assert_eq!(
+        withheld_reason(&notices, NOW + 600 * SECOND, &old, COUNTED),
+        Some(Withheld::Leaving)
+    );
+    assert_eq!(withheld_reason(&notices, NOW, &new, UNAWARE), None);
     record_response(&notices, NOW + SECOND, &new, limit(1_000));
-    assert_eq!(why(&notices, NOW + SECOND, &new, COUNTED), None);
+    assert_eq!(withheld_reason(&notices, NOW + SECOND, &new, COUNTED), None);
     assert!(
         record_response(&notices, NOW + 2 * SECOND, &old, leaving()).is_none(),
         "the notice is from before the restart"
     );
-    assert_eq!(why(&notices, NOW + 2 * SECOND, &new, COUNTED), None);
+    assert_eq!(withheld_reason(&notices, NOW + 2 * SECOND, &new, COUNTED), None);
 }
 
 /// A leaving server is remembered while its entry is missing, in case the entry is written again as if the server were
@@ -114,7 +117,10 @@
     let (notices, server) = (Notices::default(), server("a", None));
     record_response(&notices, NOW, &server, leaving());
     notices.keep_listed(NOW + 60 * SECOND, &Directory::default());
-    assert_eq!(why(&notices, NOW + 60 * SECOND, &server, UNAWARE), Some(Withheld::Leaving));
+    assert_eq!(
+        withheld_reason(&notices, NOW + 60 * SECOND, &server, UNAWARE),
+        Some(Withheld::Leaving)
+    );
     notices.keep_listed(NOW + 3_600 * SECOND, &Directory::default());
     assert!(notices.all_in_force(NOW).is_empty(), "it is forgotten after an hour without an entry");
 }
@@ -133,9 +139,9 @@
         record_response(&notices, NOW, &server, rest(*rest_ms));
     }
     let end = NOW + holds_ms * MILLISECOND;
-    let before = why(&notices, end - 1, &server, COUNTED);
+    let before = withheld_reason(&notices, end - 1, &server, COUNTED);
     assert_eq!(before, (holds_ms > 0).then_some(Withheld::Resting(1)));
-    assert_eq!(why(&notices, end, &server, UNAWARE), None);
+    assert_eq!(withheld_reason(&notices, end, &server, UNAWARE), None);
 }
 
 /// A grant that was not counted against a known limit is withheld, unless its dispatcher knows that the limit has been
@@ -144,17 +150,17 @@
 fn a_limit_permits_counted_grants() {
     let (notices, server) = (Notices::default(), server("a", None));
     record_response(&notices, NOW, &server, limit(1_400));
-    assert_eq!(why(&notices, NOW, &server, UNAWARE), Some(Withheld::Limited));
-    assert_eq!(why(&notices, NOW, &server, COUNTED), None);
+    assert_eq!(withheld_reason(&notices, NOW, &server, UNAWARE), Some(Withheld::Limited));
+    assert_eq!(withheld_reason(&notices, NOW, &server, COUNTED), None);
     let before = KnownLimit { limited: false, lifted: Some(NOW - SECOND) };
-    assert_eq!(why(&notices, NOW, &server, before), Some(Withheld::Limited));
+    assert_eq!(withheld_reason(&notices, NOW, &server, before), Some(Withheld::Limited));
     let after = KnownLimit { limited: false, lifted: Some(NOW + 2 * SECOND) };
-    assert_eq!(why(&notices, NOW + 3 * SECOND, &server, after), None);
+    assert_eq!(withheld_reason(&notices, NOW + 3 * SECOND, &server, after), None);
     assert!(notices.all_in_force(NOW + 3 * SECOND).is_empty(), "the instance knows it from now on");
 }
 
-/// A response without a limit lifts a known one, unless its request was sent before or just after the limit was announced,
-/// since responses may arrive out of order. A malformed notice lifts nothing.
+/// A response without a limit lifts a known one, unless its request was sent before or just after the limit was
+/// announced, since responses may arrive out of order. A malformed notice lifts nothing.
 #[rstest]
 #[case(Notice::default(), NOW - SECOND, false)]
 #[case(Notice::default(), NOW + 500 * MILLISECOND, false)]
@@ -165,12 +171,12 @@
     record_response(&notices, NOW, &server, limit(0));
     let reported =
         record_response_on_grant(&notices, NOW + 2 * SECOND, &server, (sent, COUNTED), notice);
-    assert_eq!(why(&notices, NOW + 2 * SECOND, &server, UNAWARE).is_none(), lifted);
+    assert_eq!(withheld_reason(&notices, NOW + 2 * SECOND, &server, UNAWARE).is_none(), lifted);
     assert!(!lifted || reported.is_some_and(|record| record.limit.lifted() == Some(sent)));
 }
 
-/// If a dispatcher counted a grant against a limit that this instance doesn't know, a response without a limit is reported
-/// to that dispatcher.
+/// If a dispatcher counted a grant against a limit that this instance doesn't know, a response without a limit is
+/// reported to that dispatcher.
 #[test]
 fn a_missing_limit_is_reported_to_the_dispatcher() {
     let (notices, server) = (Notices::default(), server("a", None));
@@ -229,8 +235,8 @@
     assert!(known.announce(NOW + 4 * SECOND, Rate(500)));
 }
 
-/// Prints the cost of recording a response and of looking up a server, with notices of 0, 1 and 1,000 servers. For
-/// meaningful figures run it in release mode with `--nocapture`.
+/// Prints the cost of recording a response and of looking up a server, with notices of 0, 1 and 1,000 servers. Notices
+/// add both costs to each request. For meaningful figures run it in release mode with `--nocapture`.
 #[test]
 fn cost_of_recording_and_lookup_is_printed() {
     const ROUNDS: u64 = 100_000;
@@ -239,15 +245,16 @@
         for number in 0..servers {
             record_response(&notices, NOW, &server(&format!("s{number}"), None), limit(5_000));
         }
-        let (one, said) = (server("s0", None), limit(5_000));
-        let said = if servers == 0 { Notice::default() } else { said };
+        let (one, notice) = (server("s0", None), limit(5_000));
+        let notice = if servers == 0 { Notice::default() } else { notice };
         let start = Instant::now();
         for round in 0..ROUNDS {
-            record_response(&notices, NOW + round, &one, said);
+            record_response(&notices, NOW + round, &one, notice);
         }
         let recording = start.elapsed();
         let start = Instant::now();
-        let free = (0..ROUNDS).filter(|round| why(&notices, NOW + round, &one, COUNTED).is_none());
+        let free = (0..ROUNDS)
+            .filter(|round| withheld_reason(&notices, NOW + round, &one, COUNTED).is_none());
         assert_eq!(free.count() as u64, ROUNDS);
         println!(
             "{servers} servers: {recording:?} to record, {:?} to look up, {ROUNDS} times",
--- a/crates/drumusher/tests/unit/response.rs
+++ b/crates/drumusher/tests/unit/response.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Decodes bytes that arrive in chunks of `size`. Returns the status, the body, whether the response is complete, and the
-/// number of bytes after it; `None` if they are not a valid response.
+/// Decodes bytes that arrive in chunks of `size`. Returns the status, the body, whether the response is complete, and
+/// the number of bytes after it; `None` if they are not a valid response.
 fn decode(bytes: &[u8], size: usize) -> Option<(u16, Vec<u8>, bool, usize)> {
     let codec = Codec::new();
     codec.expect(false);
