--- a/crates/drumusher-bench/tests/bench/main.rs
+++ b/crates/drumusher-bench/tests/bench/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the benchmarks: bounds that the decisions must keep, in virtual time.
+//! Tests of the policy benchmark: bounds on the metrics of the scheduling decisions in virtual time.
 
 mod policy;
--- a/crates/drumusher-bench/tests/bench/policy.rs
+++ b/crates/drumusher-bench/tests/bench/policy.rs
@@ -1,5 +1,5 @@
-//! Regression bounds of the policy benchmark. Virtual time and fixed seeds: the metrics are the
-//! same on every run, so that a bound that is missed is a change of the decisions.
+//! Regression bounds of the policy benchmark. Virtual time and fixed seeds give the same metrics on every run, so a
+//! violated bound means that the scheduling decisions have changed.
 
 use drumusher_bench::policy::{
     Decider,
@@ -9,16 +9,16 @@
 use drumusher_schedule::policy::Switches;
 use rstest::rstest;
 
-fn named(name: &str) -> Scenario {
+fn scenario_named(name: &str) -> Scenario {
     let mut scenarios = scenario::all().into_iter();
-    scenarios.find(|scenario| scenario.name == name).expect("there is such a scenario")
+    scenarios.find(|scenario| scenario.name == name).expect("the scenario exists")
 }
 
-fn ours(scenario: &Scenario) -> Metrics {
+fn measure_drumusher(scenario: &Scenario) -> Metrics {
     measure(scenario, Decider::Drumusher(Switches::default()))
 }
 
-/// The last number is the least part of the clairvoyant's goodput.
+/// `min_goodput` is the minimum goodput as a fraction of that of the clairvoyant scheduler.
 #[rstest]
 #[case("steady", 0.999)]
 #[case("discharge wave", 0.99)]
@@ -32,13 +32,13 @@
 #[case("top tier overload", 0.62)]
 #[case("shared prefixes", 0.95)]
 #[case("360 instances", 0.99)]
-fn the_decisions_keep_their_bounds(#[case] name: &str, #[case] least: f64) {
-    let scenario = named(name);
-    let metrics = ours(&scenario);
+fn metrics_stay_within_bounds(#[case] name: &str, #[case] min_goodput: f64) {
+    let scenario = scenario_named(name);
+    let metrics = measure_drumusher(&scenario);
     if scenario.top_fits {
         assert!(metrics.attainment["pickup"] >= 99.0, "{metrics:?}");
     }
-    assert!(metrics.goodput >= least * metrics.best, "{metrics:?}");
+    assert!(metrics.goodput >= min_goodput * metrics.best, "{metrics:?}");
     assert!(metrics.wasted <= 1.0, "{metrics:?}");
     assert_eq!(metrics.inversions, 0, "{metrics:?}");
     assert!(metrics.worst_wait <= 30.5, "{metrics:?}");
@@ -49,20 +49,21 @@
     }
 }
 
-/// The check can fail: without its mechanism each of these falls below a bound that it keeps.
+/// Guards against bounds that can't fail: with the mechanism that a scenario needs switched off, the metrics violate a
+/// bound that they satisfy with it.
 #[rstest]
 #[case("one workspace floods", Switches { fairness: false, ..Switches::default() })]
 #[case("summaries burst", Switches { preemption: false, ..Switches::default() })]
-fn without_its_mechanism_a_bound_is_missed(#[case] name: &str, #[case] switches: Switches) {
-    let metrics = measure(&named(name), Decider::Drumusher(switches));
-    let kept =
+fn disabling_a_mechanism_violates_a_bound(#[case] name: &str, #[case] switches: Switches) {
+    let metrics = measure(&scenario_named(name), Decider::Drumusher(switches));
+    let within_bounds =
         metrics.attainment["pickup"] >= 99.0 && metrics.modest.is_none_or(|modest| modest >= 97.0);
-    assert!(!kept, "{metrics:?}");
+    assert!(!within_bounds, "{metrics:?}");
 }
 
 #[test]
-fn a_run_gives_the_same_figures_every_time() {
-    let scenario = named("heavy tails");
-    let twice = [ours(&scenario), ours(&scenario)];
-    assert_eq!(format!("{:?}", twice[0]), format!("{:?}", twice[1]));
+fn runs_are_reproducible() {
+    let scenario = scenario_named("heavy tails");
+    let runs = [measure_drumusher(&scenario), measure_drumusher(&scenario)];
+    assert_eq!(format!("{:?}", runs[0]), format!("{:?}", runs[1]));
 }
