--- a/crates/drumusher-bench/src/capacity.rs
+++ b/crates/drumusher-bench/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The slopes behind `docs/CAPACITY.md`, measured on this machine with small stand-ins, and the
-//! figures at the size to design for that follow from them.
+//! Growth of costs with size, as summarized in `docs/CAPACITY.md`: measured on this machine with small stand-ins and
+//! extrapolated to the design size.
 
 pub mod memory;
 mod processes;
@@ -9,42 +9,43 @@
 
 pub use slopes::Slope;
 
-/// The size to design for, as `docs/DEVELOPMENT.md` states it.
+/// The design size, as stated in `docs/DEVELOPMENT.md`.
 pub mod size {
-    /// Instances.
+    /// Number of instances.
     pub const INSTANCES: f64 = 360.0;
-    /// Availability zones.
+    /// Number of availability zones.
     pub const ZONES: f64 = 7.0;
-    /// Backend servers: accelerators, if each serves alone.
+    /// Number of backend servers, which is that of accelerators if each serves on its own.
     pub const SERVERS: f64 = 4_800.0;
-    /// Models.
+    /// Number of models.
     pub const MODELS: f64 = 15.0;
-    /// Workspaces.
+    /// Number of workspaces.
     pub const WORKSPACES: f64 = 770.0;
-    /// Requests a second at the peak.
+    /// Peak rate of requests per second.
     pub const REQUESTS: f64 = 4_000.0;
-    /// Generated tokens a second at the peak.
+    /// Peak rate of generated tokens per second.
     pub const TOKENS: f64 = 840_000.0;
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub const CHANGES: f64 = 2_000.0;
 }
 
-/// Measures all slopes and prints them with what follows.
+/// Measures all costs and prints them as tables.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of starting or querying processes.
 pub fn run() -> io::Result<()> {
-    let measured = slopes::measure();
-    print!("{}", table(&measured));
+    let slopes = slopes::measure();
+    print!("{}", table(&slopes));
     println!();
     print!("{}", processes::measure()?);
     Ok(())
 }
 
+/// Formats slopes as a table in Markdown.
 fn table(slopes: &[Slope]) -> String {
     let mut text = String::from(
-        "| what | unit | at three sizes | slope | at the size to design for |\n\
+        "| cost | unit | at three sizes | slope | at the design size |\n\
          |---|---|---|---|---|\n",
     );
     for slope in slopes {
@@ -53,10 +54,10 @@
         let _ = writeln!(
             text,
             "| {} | {} | {} | {} | {} |",
-            slope.what,
+            slope.name,
             slope.unit,
             points.join("; "),
-            slope.per(),
+            slope.per_item(),
             slope.at_target(),
         );
     }
--- a/crates/drumusher-bench/src/capacity/memory.rs
+++ b/crates/drumusher-bench/src/capacity/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of states of different sizes, each measured in a process of its own, because memory that
-//! was freed before would hide what is taken.
+//! Memory use of state of different sizes. Each size is measured in its own process, because memory freed earlier in
+//! the same process would be reused and hide the growth.
 
 use std::{env, fs, process::Command};
 
@@ -8,19 +8,20 @@
 
 use super::slopes;
 
-/// What is held in memory.
+/// A kind of state whose memory use is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Held {
     /// Requests waiting at a dispatcher.
     Waiting,
-    /// Commands folded into the configuration.
+    /// Commands applied to the configuration.
     Commands,
     /// Claims in the index.
     Claims,
 }
 
 impl Held {
-    fn word(self) -> &'static str {
+    /// Argument of the `memory` subcommand.
+    fn argument(self) -> &'static str {
         match self {
             Held::Waiting => "waiting",
             Held::Commands => "commands",
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The sizes that are measured.
+    /// Sizes that are measured.
     pub fn sizes(self) -> [usize; 3] {
         match self {
             Held::Waiting => [10_000, 20_000, 40_000],
@@ -37,32 +38,34 @@
         }
     }
 
-    /// Kilobytes that `size` of them take, by a process of its own.
-    pub fn measured_apart(self, size: usize) -> Option<f64> {
+    /// Kilobytes that `size` items take, measured in a new process; `None` if that fails.
+    pub fn measure_in_process(self, size: usize) -> Option<f64> {
         let own = env::current_exe().ok()?;
-        let output = Command::new(own).args(["memory", self.word(), &size.to_string()]).output();
+        let output =
+            Command::new(own).args(["memory", self.argument(), &size.to_string()]).output();
         String::from_utf8(output.ok()?.stdout).ok()?.trim().parse().ok()
     }
 }
 
-/// Prints the kilobytes that `size` of `held` take in this process.
+/// Prints the kilobytes that `size` items of the kind `held` take in the current process.
 ///
 /// # Errors
 ///
-/// A sentence, if either word is not understood.
+/// A message, if `size` isn't a number or `held` is unknown.
 pub fn print(held: &str, size: &str) -> Result<(), String> {
-    let size: usize = size.parse().map_err(|_| format!("{size} is not a number"))?;
+    let size: usize = size.parse().map_err(|_| format!("invalid size {size:?}"))?;
     let before = resident_kb();
     match held {
         "waiting" => waiting(size),
         "commands" => commands(size),
         "claims" => claims(size),
-        other => return Err(format!("nothing holds {other}")),
+        other => return Err(format!("unknown kind of state {other:?}")),
     }
     println!("{}", resident_kb() - before);
     Ok(())
 }
 
+/// Allocates a pool with waiting requests. Leaks it, as do the other functions, so that it counts as resident.
 fn waiting(size: usize) {
     let mut pool = slopes::pool(1, 1);
     let mut orders = Vec::new();
@@ -73,7 +76,7 @@
 }
 
 fn commands(size: usize) {
-    std::mem::forget(slopes::folded(size));
+    std::mem::forget(slopes::configuration(size));
 }
 
 fn claims(size: usize) {
--- a/crates/drumusher-bench/src/capacity/processes.rs
+++ b/crates/drumusher-bench/src/capacity/processes.rs
@@ -1,4 +1,4 @@
-//! What an idle instance spends on control, by the number of instances it talks to.
+//! Cost of the control plane on an idle instance, by the number of instances in the fleet.
 
 use std::{
     fmt::Write,
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    demo::{Processes, program},
+    demo::{Processes, build_drumusher},
     fleet::{Fleet, key, wait_for},
     load,
     stand_in::Kind,
@@ -15,16 +15,16 @@
 
 /// Instances in the three measurements.
 const SIZES: [usize; 3] = [2, 4, 8];
-/// How long each fleet is watched.
-const WATCH: Duration = Duration::from_secs(6);
-/// Pools in each fleet, so that every instance has connections to most others.
+/// Time for which each fleet is observed.
+const OBSERVATION: Duration = Duration::from_secs(6);
+/// Models, and thus pools, in each fleet: enough that every instance has connections to most others.
 const MODELS: usize = 8;
 
-/// Measures fleets of three sizes.
+/// Measures fleets of three sizes and returns a table in Markdown.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of starting or querying processes.
 pub fn measure() -> io::Result<String> {
     let mut text = String::from(
         "| instances | resident kB (mean) | % of a core (mean) | bytes/s to each other instance | \
@@ -32,34 +32,35 @@
     );
     for size in SIZES {
         let fleet = fleet(size)?;
-        // Requests at every instance for every pool, so that connections are there.
+        // Requests through every instance establish the connections.
         for instance in &fleet.instances {
             load::closed(&instance.http, &key("vanua"), "urgent", (1, 2), 2);
         }
-        let seconds: Vec<f64> = processor(&fleet);
-        let bytes: u64 = relayed(&fleet);
+        let seconds: Vec<f64> = cpu_seconds(&fleet);
+        let bytes: u64 = peer_bytes(&fleet);
         let since = Instant::now();
-        wait_for("the watch is over", || since.elapsed() >= WATCH);
-        let watched = since.elapsed().as_secs_f64();
+        wait_for("the observation ends", || since.elapsed() >= OBSERVATION);
+        let observed = since.elapsed().as_secs_f64();
         let used: f64 =
-            processor(&fleet).iter().zip(&seconds).map(|(after, before)| after - before).sum();
-        let sent = relayed(&fleet) - bytes;
+            cpu_seconds(&fleet).iter().zip(&seconds).map(|(after, before)| after - before).sum();
+        let sent = peer_bytes(&fleet) - bytes;
         let resident: u64 = fleet.instances.iter().filter_map(|i| i.resident_kb()).sum();
-        let (middle, worst) = in_force(&fleet)?;
+        let (median, worst) = command_latency(&fleet)?;
         let pairs = (size * (size - 1)) as f64;
         let _ = writeln!(
             text,
-            "| {size} | {} | {:.2} | {:.0} | {middle:.0}, {worst:.0} |",
+            "| {size} | {} | {:.2} | {:.0} | {median:.0}, {worst:.0} |",
             resident / size as u64,
-            100.0 * used / watched / size as f64,
-            sent as f64 / watched / pairs,
+            100.0 * used / observed / size as f64,
+            sent as f64 / observed / pairs,
         );
     }
     Ok(text)
 }
 
+/// Starts a fleet in one availability zone with an engine for each model.
 fn fleet(instances: usize) -> io::Result<Fleet<Processes>> {
-    let mut fleet = Fleet::with_starter(program()?, Processes::default())?;
+    let mut fleet = Fleet::with_starter(build_drumusher()?, Processes::default())?;
     fleet = fleet.with_default_intervals();
     for number in 0..MODELS {
         let (name, model) = (format!("engine-{number}"), format!("model-{number}"));
@@ -75,16 +76,23 @@
     Ok(fleet)
 }
 
-fn processor(fleet: &Fleet<Processes>) -> Vec<f64> {
+/// CPU time used by each instance, in seconds.
+fn cpu_seconds(fleet: &Fleet<Processes>) -> Vec<f64> {
     fleet.instances.iter().filter_map(|instance| instance.cpu_seconds()).collect()
 }
 
-fn relayed(fleet: &Fleet<Processes>) -> u64 {
+/// Bytes exchanged between all instances.
+fn peer_bytes(fleet: &Fleet<Processes>) -> u64 {
     fleet.instances.iter().map(|instance| instance.peer_bytes()).sum()
 }
 
-/// Milliseconds from a command to its answer, which says that it is in force everywhere.
-fn in_force(fleet: &Fleet<Processes>) -> io::Result<(f64, f64)> {
+/// Median and maximum latency in milliseconds of a command, whose response confirms that it is in force on all
+/// instances.
+///
+/// # Errors
+///
+/// Any I/O error, or a response that doesn't confirm this.
+fn command_latency(fleet: &Fleet<Processes>) -> io::Result<(f64, f64)> {
     let mut times = Vec::new();
     for number in 0..20 {
         let since = Instant::now();
@@ -93,7 +101,9 @@
         let answer = fleet.ask(instance, &statement)?.lines();
         let everywhere = answer.first().is_some_and(|row| row["in_force"] == row["instances"]);
         if !everywhere {
-            return Err(io::Error::other(format!("not in force everywhere: {answer:?}")));
+            return Err(io::Error::other(format!(
+                "the command is not in force on all instances: {answer:?}"
+            )));
         }
         times.push(since.elapsed().as_secs_f64() * 1e3);
     }
--- a/crates/drumusher-bench/src/capacity/slopes.rs
+++ b/crates/drumusher-bench/src/capacity/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes that one process can measure on itself.
+//! Costs at several sizes that a single process can measure.
 
 use std::{collections::BTreeMap, hint::black_box, sync::Arc, time::Instant};
 
@@ -20,34 +20,35 @@
 
 use super::{memory::Held, size};
 
-/// A cost at three sizes or more.
+/// A cost measured at three or more sizes.
 #[derive(Clone, Debug)]
 pub struct Slope {
-    /// What costs.
-    pub what: &'static str,
-    /// The unit of the cost.
+    /// Name of the cost.
+    pub name: &'static str,
+    /// Unit of the cost.
     pub unit: &'static str,
-    /// Size and cost.
+    /// Measured points: size and cost.
     pub points: Vec<(f64, f64)>,
-    /// The size of the growing thing at the size to design for.
+    /// Size in the design, at which the cost is extrapolated.
     pub target: f64,
-    /// What grows.
-    pub grows: &'static str,
+    /// Item that the size counts.
+    pub item: &'static str,
 }
 
 impl Slope {
-    /// The slope of the least-squares line, in words.
-    pub fn per(&self) -> String {
+    /// Formats the slope of the least-squares line as cost per item.
+    pub fn per_item(&self) -> String {
         let (slope, _) = self.line();
-        format!("{slope:.6} per {}", self.grows)
+        format!("{slope:.6} per {}", self.item)
     }
 
-    /// The line's value at the size to design for, in words.
+    /// Formats the value of the least-squares line at the design size.
     pub fn at_target(&self) -> String {
         let (slope, base) = self.line();
         format!("{:.3} at {:.0}", base + slope * self.target, self.target)
     }
 
+    /// Slope and intercept of the least-squares line.
     fn line(&self) -> (f64, f64) {
         let count = self.points.len() as f64;
         let mean_x = self.points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -59,7 +60,7 @@
     }
 }
 
-/// All slopes of one process.
+/// Measures all costs.
 pub fn measure() -> Vec<Slope> {
     vec![
         decisions_by_waiting(),
@@ -71,7 +72,7 @@
             "waiting request",
             10_000.0,
         ),
-        fold_time(),
+        apply_time(),
         memory(
             Held::Commands,
             "configuration follower: memory of the state",
@@ -80,17 +81,12 @@
         ),
         snapshot(),
         claim_time(),
-        memory(
-            Held::Claims,
-            "claim keeper: memory of the index",
-            "claim (100 a second for an hour)",
-            360_000.0,
-        ),
+        memory(Held::Claims, "claim index: memory", "claim (100 a second for an hour)", 360_000.0),
         wire(),
     ]
 }
 
-/// Cost at each size; the best of three runs, because the machine does other things too.
+/// Cost at each size: the minimum of three runs, to reduce the influence of other processes on the machine.
 fn best(sizes: &[usize], mut cost: impl FnMut(usize) -> f64) -> Vec<(f64, f64)> {
     let mut points = Vec::new();
     for size in sizes {
@@ -100,12 +96,14 @@
     points
 }
 
-fn memory(held: Held, what: &'static str, grows: &'static str, target: f64) -> Slope {
+fn memory(held: Held, name: &'static str, item: &'static str, target: f64) -> Slope {
     let sizes = held.sizes();
-    let points = sizes.map(|size| (size as f64, held.measured_apart(size).unwrap_or(f64::NAN)));
-    Slope { what, unit: "kB", points: points.to_vec(), target, grows }
+    let points = sizes.map(|size| (size as f64, held.measure_in_process(size).unwrap_or(f64::NAN)));
+    Slope { name, unit: "kB", points: points.to_vec(), target, item }
 }
 
+/// A pool with the given backend servers, without shedding and without the initial period in which a dispatcher
+/// neither refuses nor preempts.
 pub(super) fn pool(servers: u16, slots: u32) -> Pool {
     let classes = (0..4).map(|tier| Class::new(format!("class-{tier}"), tier)).collect();
     let workspaces = (0..770).map(|number| Workspace::new(format!("w{number}"))).collect();
@@ -121,6 +119,7 @@
     pool
 }
 
+/// A request whose properties vary with its ID.
 pub(super) fn ask(id: Id) -> Ask {
     Ask {
         id,
@@ -141,15 +140,15 @@
     }
 }
 
-/// Microseconds for an ask, its grant and its finish, with `waiting` others waiting.
+/// Microseconds to handle a request's ask, grant and finish while `waiting` other requests wait.
 fn decision(servers: u16, waiting: usize) -> f64 {
     const ROUNDS: u128 = 20_000;
     let slots = 16;
     let mut pool = pool(servers, slots);
     let mut orders = Vec::new();
-    let places = u128::from(servers) * u128::from(slots);
+    let capacity = u128::from(servers) * u128::from(slots);
     let now = 2_000_000;
-    for id in 0..places + waiting as u128 {
+    for id in 0..capacity + waiting as u128 {
         pool.handle(now, Event::Ask(ask(id)), &mut orders);
     }
     let mut running: Vec<Id> = pool.iter_running().map(|running| running.ask.id).collect();
@@ -163,7 +162,7 @@
                 running[at] = id;
             }
         }
-        let id = places + waiting as u128 + round;
+        let id = capacity + waiting as u128 + round;
         pool.handle(now, Event::Ask(ask(id)), &mut orders);
         orders.clear();
     }
@@ -173,21 +172,21 @@
 
 fn decisions_by_waiting() -> Slope {
     Slope {
-        what: "dispatcher: ask, grant and finish with 100 servers",
+        name: "dispatcher: ask, grant and finish with 100 servers",
         unit: "µs",
         points: best(&[100, 1_000, 10_000], |waiting| decision(100, waiting)),
         target: 10_000.0,
-        grows: "waiting request",
+        item: "waiting request",
     }
 }
 
 fn decisions_by_servers() -> Slope {
     Slope {
-        what: "dispatcher: ask, grant and finish with 1,000 waiting",
+        name: "dispatcher: ask, grant and finish with 1,000 waiting",
         unit: "µs",
         points: best(&[10, 50, 200], |servers| decision(servers as u16, 1_000)),
         target: size::SERVERS / size::ZONES / size::MODELS,
-        grows: "server of the pool",
+        item: "server of the pool",
     }
 }
 
@@ -210,14 +209,15 @@
         since.elapsed().as_secs_f64() * 1e6 / f64::from(rounds * running as u32)
     };
     Slope {
-        what: "dispatcher: one report on a running attempt",
+        name: "dispatcher: one progress report on a running attempt",
         unit: "µs",
         points: best(&[100, 1_000, 6_000], cost),
         target: 6_000.0,
-        grows: "running request",
+        item: "running request",
     }
 }
 
+/// A log record with a command that creates or changes a workspace.
 fn command(number: usize) -> Vec<u8> {
     let fields = BTreeMap::from([("weight".to_string(), Value::Number(1.0 + number as f64))]);
     let verb = if number < 770 { Verb::Create } else { Verb::Set };
@@ -228,7 +228,8 @@
     serde_json::to_vec(&record).expect("records can be written")
 }
 
-pub(super) fn folded(count: usize) -> State {
+/// Configuration after `count` commands.
+pub(super) fn configuration(count: usize) -> State {
     let mut state = State::new();
     for number in 0..count {
         apply(&mut state, number as u64, 0, &command(number));
@@ -236,7 +237,7 @@
     state
 }
 
-fn fold_time() -> Slope {
+fn apply_time() -> Slope {
     let cost = |count: usize| {
         let bodies: Vec<Vec<u8>> = (0..count).map(command).collect();
         let since = Instant::now();
@@ -248,29 +249,30 @@
         since.elapsed().as_secs_f64() * 1e3
     };
     Slope {
-        what: "configuration follower: folding a log",
+        name: "configuration follower: applying a log",
         unit: "ms",
         points: best(&[500, 2_000, 8_000], cost),
         target: size::CHANGES,
-        grows: "command",
+        item: "command",
     }
 }
 
 fn snapshot() -> Slope {
     let cost = |count: usize| {
-        let state = Box::new(folded(count));
+        let state = Box::new(configuration(count));
         let record = Record::Snapshot { state };
         serde_json::to_vec(&record).map_or(0.0, |body| body.len() as f64 / 1_024.0)
     };
     Slope {
-        what: "snapshotter: size of a snapshot",
+        name: "configuration: size of a snapshot",
         unit: "kB",
         points: best(&[500, 2_000, 8_000], cost),
         target: 8_192.0,
-        grows: "command remembered (at most 8,192)",
+        item: "command remembered (at most 8,192)",
     }
 }
 
+/// A log record with a claim.
 pub(super) fn claim(number: usize) -> Vec<u8> {
     let key = claim::Key(number as u128 * 0x9e37_79b9_7f4a_7c15_0123_4567_89ab_cdef);
     let attempt = claim::Attempt(key.0 ^ 1);
@@ -290,15 +292,15 @@
         since.elapsed().as_secs_f64() * 1e3
     };
     Slope {
-        what: "claim keeper: folding claims",
+        name: "claim index: applying claims",
         unit: "ms",
         points: best(&[25_000, 50_000, 100_000], cost),
         target: 360_000.0,
-        grows: "claim (100 a second for an hour)",
+        item: "claim (100 a second for an hour)",
     }
 }
 
-/// Bytes between entry and dispatcher for one request that is reported on `reports` times.
+/// Bytes between entry and dispatcher for one request, by the number of its progress reports.
 fn wire() -> Slope {
     let length = |message: Message| {
         let mut buffer = Vec::new();
@@ -345,17 +347,18 @@
         );
         let finish = peer::Finish::new(id.clone(), pool.clone(), 0, 210, None, Some(9_000));
         let report = peer::Progress::new(id.clone(), 210, None, Some(9_000));
-        let one = length(Message::Progress(peer::ProgressBatch::new(pool.clone(), vec![report])));
-        let whole = length(Message::Ask(ask))
+        let per_report =
+            length(Message::Progress(peer::ProgressBatch::new(pool.clone(), vec![report])));
+        let fixed = length(Message::Ask(ask))
             + length(Message::Grant(grant))
             + length(Message::Finish(finish));
-        (whole + reports * one) as f64
+        (fixed + reports * per_report) as f64
     };
     Slope {
-        what: "entry and dispatcher: bytes of one request, reports not batched",
+        name: "entry and dispatcher: bytes of one request, reports not batched",
         unit: "bytes",
         points: best(&[1, 10, 40], cost),
         target: 10.0,
-        grows: "report (two a second)",
+        item: "report (two a second)",
     }
 }
--- a/crates/drumusher-bench/src/demo.rs
+++ b/crates/drumusher-bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: separate processes on free ports, real requests, and what came of them.
+//! Demo: a fleet of processes on free ports, sample requests and their results.
 
 use std::{
     env, fs,
@@ -18,7 +18,7 @@
     stand_in::Kind,
 };
 
-/// Stand-ins as processes of their own. Dropped, they are killed.
+/// Starts stand-ins as child processes. Kills them when dropped.
 #[derive(Default)]
 pub struct Processes {
     children: Vec<Child>,
@@ -26,14 +26,14 @@
 
 impl Starter for Processes {
     fn start(&mut self, kind: Kind) -> io::Result<SocketAddr> {
-        let word = match kind {
+        let argument = match kind {
             Kind::Engine => "engine",
             Kind::Service => "service",
             Kind::Log => "log",
             Kind::List => "list",
         };
         let mut child = Command::new(env::current_exe()?)
-            .args(["stand-in", word])
+            .args(["stand-in", argument])
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .spawn()?;
@@ -54,33 +54,34 @@
     }
 }
 
-/// The `drumusher` program beside this one, built first.
+/// Builds `drumusher` with the profile of the current executable and returns the path of its binary, which is in the
+/// same folder.
 ///
 /// # Errors
 ///
-/// Any error of the operating system, or a build that fails.
-pub fn program() -> io::Result<PathBuf> {
-    let own = env::current_exe()?;
-    let folder = own.parent().ok_or(io::ErrorKind::NotFound)?;
+/// Any I/O error, or a failed build.
+pub fn build_drumusher() -> io::Result<PathBuf> {
+    let executable = env::current_exe()?;
+    let folder = executable.parent().ok_or(io::ErrorKind::NotFound)?;
     let mut build = Command::new(env::var("CARGO").unwrap_or_else(|_| "cargo".into()));
     build.args(["build", "--quiet", "--locked", "-p", "drumusher"]);
     if folder.ends_with("release") {
         build.arg("--release");
     }
-    let built = build.current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../..")).status()?;
-    if !built.success() {
-        return Err(io::Error::other("drumusher cannot be built"));
+    let status = build.current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../..")).status()?;
+    if !status.success() {
+        return Err(io::Error::other(format!("building drumusher failed: {status}")));
     }
     Ok(folder.join("drumusher"))
 }
 
-/// A fleet of processes: `zones` with two instances, `engines` engines and a service each.
+/// Starts and configures a fleet of processes: in each of `zones`, two instances, `engines` engines and one service.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of starting or querying processes.
 pub fn fleet(zones: &[&str], engines: usize) -> io::Result<Fleet<Processes>> {
-    let mut fleet = Fleet::with_starter(program()?, Processes::default())?;
+    let mut fleet = Fleet::with_starter(build_drumusher()?, Processes::default())?;
     for zone in zones {
         for number in 0..engines {
             fleet.add_backend(Kind::Engine, &format!("{zone}-engine-{number}"), zone, "draft")?;
@@ -96,21 +97,23 @@
     Ok(fleet)
 }
 
-/// Runs the demo.
+/// Runs the demo. Blocks until Enter is pressed.
 ///
 /// # Errors
 ///
-/// Any error of the operating system.
+/// Any I/O error of starting or querying processes.
 pub fn run() -> io::Result<()> {
-    println!("Starting two availability zones with two instances, two engines and a desk each …");
+    println!(
+        "Starting two availability zones with two instances, two engines and a service each …"
+    );
     let fleet = fleet(&["suva-hall", "nadi-hall"], 2)?;
     for instance in &fleet.instances {
         println!("  {} serves http://{}", instance.name, instance.http);
     }
-    one_completion(&fleet)?;
-    one_booking(&fleet)?;
-    some_load(&fleet);
-    by_hand(&fleet);
+    show_completion(&fleet)?;
+    show_idempotency(&fleet)?;
+    show_load(&fleet);
+    show_commands(&fleet);
     Ok(())
 }
 
@@ -128,7 +131,7 @@
     client::post(address, path, &headers, body)
 }
 
-fn one_completion(fleet: &Fleet<Processes>) -> io::Result<()> {
+fn show_completion(fleet: &Fleet<Processes>) -> io::Result<()> {
     let messages = json!([{"role": "user", "content": "pickup at eight"}]);
     let body = json!({"model": "draft", "messages": messages, "max_tokens": 6});
     let instance = &fleet.instances[1];
@@ -136,33 +139,33 @@
     println!("\nA chat completion through {}:\n  {}", instance.name, answer.body);
     let trace = answer.header("drumusher-trace").unwrap_or_default().to_string();
     let request = answer.header("x-request-id").unwrap_or_default().to_string();
-    println!("\nWhy it ran where it ran (show request {request}):");
+    println!("\nScheduling decisions for it (show request {request}):");
     for line in fleet.ask(0, &format!("show request {request}"))?.lines() {
         println!("  {} {}", line["instance"], line["what"]);
     }
-    println!("\nIts trace, a span for each hop (show request {trace}):");
+    println!("\nIts trace, with a span for each hop (show request {trace}):");
     for line in fleet.ask(0, &format!("show request {trace}"))?.lines() {
-        let (span, lasted) = (&line["span"], &line["lasted_us"]);
-        println!("  {span} at {} lasted {lasted} µs {}", line["instance"], line["attributes"]);
+        let (span, duration) = (&line["span"], &line["lasted_us"]);
+        println!("  {span} on {} took {duration} µs {}", line["instance"], line["attributes"]);
     }
     Ok(())
 }
 
-fn one_booking(fleet: &Fleet<Processes>) -> io::Result<()> {
+fn show_idempotency(fleet: &Fleet<Processes>) -> io::Result<()> {
     let owned = headers("booking");
     let mut headers: Vec<(&str, &str)> = owned.iter().map(|(n, v)| (*n, v.as_str())).collect();
     headers.push(("idempotency-key", "pickup-4711"));
-    println!("\nA booking sent three times with one idempotency key:");
+    println!("\nA booking sent three times with the same idempotency key:");
     for number in 0..3 {
         let address = &fleet.instances[number % 2].http;
         let answer = client::post(address, "/services/desk/bookings", &headers, "{\"at\":8}")?;
         let replayed = answer.header("drumusher-replayed").is_some();
-        println!("  {} {} (kept answer: {replayed})", answer.status, answer.body.trim());
+        println!("  {} {} (replayed: {replayed})", answer.status, answer.body.trim());
     }
     Ok(())
 }
 
-fn some_load(fleet: &Fleet<Processes>) {
+fn show_load(fleet: &Fleet<Processes>) {
     let class = |name: &str, rate, tokens, target| Class {
         name: name.into(),
         rate,
@@ -177,13 +180,13 @@
         duration: Duration::from_secs(5),
         seed: 1,
     };
-    println!("\nFive seconds of load from two workspaces in two classes:");
+    println!("\nFive seconds of open-loop load from two workspaces in two classes:");
     println!("{}", load::table(&load::open(&plan)));
 }
 
-fn by_hand(fleet: &Fleet<Processes>) {
+fn show_commands(fleet: &Fleet<Processes>) {
     let address = &fleet.instances[0].http;
-    println!("To try by hand while the demo runs:");
+    println!("Commands to try while the demo runs:");
     println!(
         "  curl -N http://{address}/v1/completions -H 'Authorization: Bearer {}' \\\n    \
          -H 'Drumusher-Class: urgent' -d '{{\"model\":\"draft\",\"prompt\":\"hello\",\
@@ -196,7 +199,7 @@
     );
     println!("  curl http://{address}/metrics");
     let folder = fleet.folder().display();
-    println!("Settings and log lines are in {folder}. Press Enter to end.");
+    println!("Settings and log files are in {folder}. Press Enter to exit.");
     if fs::metadata("/dev/stdin").is_ok() {
         let mut line = String::new();
         let _ = io::stdin().read_line(&mut line);
