--- a/crates/drumusher-bench/src/stand_in/engine.rs
+++ b/crates/drumusher-bench/src/stand_in/engine.rs
@@ -342,7 +342,7 @@
         return false;
     }
     if switches.truncate_at > 0 && sequence.produced >= switches.truncate_at {
-        let aborted = std::io::Error::other("stream aborted by truncate_at");
+        let aborted = std::io::Error::other("truncated");
         let _ = sequence.sender.send(Err(aborted));
         return false;
     }
--- a/crates/drumusher-bench/src/stand_in/service.rs
+++ b/crates/drumusher-bench/src/stand_in/service.rs
@@ -93,6 +93,6 @@
 fn aborted() -> HttpResponse {
     let (sender, receiver) = ntex::channel::mpsc::channel::<Result<Bytes, std::io::Error>>();
     let _ = sender.send(Ok(Bytes::from_static(b"{")));
-    let _ = sender.send(Err(std::io::Error::other("response aborted by lose_answers")));
+    let _ = sender.send(Err(std::io::Error::other("lost")));
     HttpResponse::Ok().streaming(receiver)
 }
