--- a/crates/drumusher-schedule/src/server/window.rs
+++ b/crates/drumusher-schedule/src/server/window.rs
@@ -82,7 +82,7 @@
     }
 
     /// Applies a lagging report. Requests in excess of the own grants at that time belong to other
-    /// dispatchers, unless the report is older than `taken_over`, when this dispatcher took over.
+    /// dispatchers, unless the report is older than `taken_over_at`, when this dispatcher took over.
     pub fn apply_report(&mut self, load: &Load, now: Micros, taken_over_at: Micros) {
         let reported = load.running + load.waiting;
         if load.as_of >= taken_over_at {
--- a/crates/drumusher/src/process/dispatch/hosted_pool.rs
+++ b/crates/drumusher/src/process/dispatch/hosted_pool.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The name and key of a backend server if its listed start time is `born_ms`, in Unix milliseconds.
+    /// The name and key of a backend server if its listed start time is `started_ms`, in Unix milliseconds.
     pub(super) fn incarnation(
         &self,
         name: &str,
--- a/crates/drumusher/src/process/duties/runner.rs
+++ b/crates/drumusher/src/process/duties/runner.rs
@@ -35,7 +35,7 @@
 const CALL_TIME: Micros = 800 * MILLISECOND;
 /// Interval between two reads of the published updates, within which a burst becomes visible.
 const READ_INTERVAL: Micros = SECOND;
-/// First pause after a failed call, doubled with each further one up to [`RETRY_MOST`].
+/// First pause after a failed call, doubled with each further one up to [`MAX_RETRY_PAUSE`].
 const MIN_RETRY_PAUSE: Micros = 300 * MILLISECOND;
 /// Longest pause after a failed call: a report is due some seconds after its first attempt.
 const MAX_RETRY_PAUSE: Micros = 2 * SECOND;
