--- a/crates/drumusher/src/main.rs
+++ b/crates/drumusher/src/main.rs
@@ -57,7 +57,7 @@
 fn check(file: &str) -> ExitCode {
     match load(file) {
         Ok(_) => {
-            println!("{file}: no errors");
+            println!("{file}: no fault");
             ExitCode::SUCCESS
         }
         Err(code) => code,
